--- a/src/archive/begin.ts
+++ b/src/archive/begin.ts
@@ -1,4 +1,4 @@
-import type { Core, Leading } from "../extension/index.js";
+import type { Core, LeaderTerm } from "../extension/index.js";
 import { keys } from "../state/keys.js";
 import { ARCHIVE_SCHEMA, schemaOf } from "../state/schema.js";
 import { encodeLeaf, LAST, leafKey } from "./leaf.js";
@@ -38,7 +38,7 @@
  */
 export async function beginArchive(
   core: Core,
-  leading: Pick<Leading, "claim"> & Partial<Leading>,
+  leading: Pick<LeaderTerm, "claim"> & Partial<LeaderTerm>,
 ): Promise<boolean> {
   const { store, mirror, layout, log } = core;
   if (schemaOf(mirror).version !== 1 || behind(core).length > 0) return false;
@@ -69,6 +69,6 @@
   );
   if (!result.ok) return false;
   log.info({ schema: ARCHIVE_SCHEMA }, "the archive begins");
-  await mirror.reached(result.revision);
+  await mirror.waitForRevision(result.revision);
   return true;
 }
--- a/src/archive/leaf.ts
+++ b/src/archive/leaf.ts
@@ -4,7 +4,7 @@
  * and the service finds it by itself: there is no directory to keep, to read or to lose.
  */
 
-import type { Past } from "../jobs/past.js";
+import type { JobOutcome } from "../jobs/job-outcome.js";
 import { hash } from "../membership/layout.js";
 import { keys } from "../state/keys.js";
 import type { Row } from "../state/store.js";
@@ -46,7 +46,7 @@
   c: number;
 }
 
-export type Entry = readonly [id: string, past: Past];
+export type Entry = readonly [id: string, past: JobOutcome];
 
 export interface Leaf {
   key: string;
@@ -197,7 +197,7 @@
   return -from - 1;
 }
 
-export function findIn(entries: readonly Entry[], id: string): Past | null {
+export function findIn(entries: readonly Entry[], id: string): JobOutcome | null {
   const place = placeIn(entries, id);
   return place < 0 ? null : entries[place]![1];
 }
--- a/src/archive/lookups.ts
+++ b/src/archive/lookups.ts
@@ -1,6 +1,6 @@
 import { LRUCache } from "lru-cache";
 import type { Clock } from "../clock.js";
-import type { Past } from "../jobs/past.js";
+import type { JobOutcome } from "../jobs/job-outcome.js";
 import type { Log } from "../log.js";
 import { Admission } from "../state/admission.js";
 import { keys } from "../state/keys.js";
@@ -9,7 +9,7 @@
 import { Shared } from "./shared.js";
 
 /** What a new job depends on: that it is not in the archive, as it was when it was looked up. */
-export type Guard = { past: Past } | { when: Condition[] };
+export type Guard = { past: JobOutcome } | { when: Condition[] };
 
 /** Bytes of leaves in memory. */
 const CACHED = 4 * 1024 * 1024;
@@ -94,7 +94,7 @@
   }
 
   /** A final state that is remembered. */
-  recall(id: string): Past | null {
+  recall(id: string): JobOutcome | null {
     const leaf = this.known(id);
     return leaf === null ? null : findIn(leaf.entries, id);
   }
@@ -104,7 +104,7 @@
    * it at some moment after the call.
    * @throws Refused beyond the look-ups' own part of the budget; CorruptLeaf
    */
-  async find(id: string): Promise<Past | null> {
+  async find(id: string): Promise<JobOutcome | null> {
     return this.recall(id) ?? findIn((await this.leaf(id)).entries, id);
   }
 
@@ -128,7 +128,7 @@
   }
 
   async #read(id: string): Promise<Leaf> {
-    if (!this.#admission.pass(id)) throw new Refused("look-ups beyond their budget");
+    if (!this.#admission.admit(id)) throw new Refused("look-ups beyond their budget");
     this.reads++;
     const { rows } = await this.store.page(keys.archive, beforeLeaf(id), 1);
     const row = rows[0];
--- a/src/archive/mover.ts
+++ b/src/archive/mover.ts
@@ -1,4 +1,4 @@
-import type { Core, Leading } from "../extension/index.js";
+import type { Core, LeaderTerm } from "../extension/index.js";
 import { keys } from "../state/keys.js";
 import { Refused, type Row } from "../state/store.js";
 import { CorruptLeaf, covers, type Leaf } from "./leaf.js";
@@ -27,7 +27,7 @@
     readonly core: Core,
     readonly lookups: Lookups,
     readonly candidates: Candidates,
-    readonly leading: Leading,
+    readonly leading: LeaderTerm,
   ) {}
 
   /** Moves some; false when there is nothing to move, or nothing to spare for it now. */
@@ -103,7 +103,7 @@
     if (!result.ok) {
       for (const key of result.failed) this.lookups.changed(key);
       // Somebody else's change of a header comes by the watch.
-      await this.core.mirror.reached(result.revision);
+      await this.core.mirror.waitForRevision(result.revision);
       return true;
     }
     for (const leaf of move.leaves) {
--- a/src/archive/plan.ts
+++ b/src/archive/plan.ts
@@ -1,6 +1,6 @@
-import { isHeader, isTidy } from "../jobs/header.js";
-import { sizeOf } from "../jobs/page.js";
-import { pastOf } from "../jobs/past.js";
+import { jsonBytes } from "../jobs/chunk-page.js";
+import { isFullyReleased, isHeader } from "../jobs/job-header.js";
+import { outcomeOf } from "../jobs/job-outcome.js";
 import { keys } from "../state/keys.js";
 import type { Change, Condition, Row } from "../state/store.js";
 import { type Entry, encodeLeaf, type Leaf, leafKey, placeIn } from "./leaf.js";
@@ -46,7 +46,7 @@
   const fit: { row: Row; entry: Entry }[] = [];
   for (const row of rows) {
     const id = row.key.slice(keys.job("").length);
-    const past = isHeader(row.value) && isTidy(row.value) ? pastOf(row.value) : null;
+    const past = isHeader(row.value) && isFullyReleased(row.value) ? outcomeOf(row.value) : null;
     if (past === null) continue;
     if (placeIn(leaf.entries, id) >= 0) doubled.push(row);
     else fit.push({ row, entry: [id, past] });
@@ -62,7 +62,7 @@
     const groups = split(leaf.from, entries, limits.leafBytes, appends);
     if (groups.length + count > limits.changes) continue;
     const move = moveOf(leaf, groups, taken, doubled);
-    if (sizeOf([move.when, move.changes]) + OVERHEAD <= limits.txnBytes) return move;
+    if (jsonBytes([move.when, move.changes]) + OVERHEAD <= limits.txnBytes) return move;
   }
   return doubled.length === 0 ? null : { when: [], changes: [], moved: [], doubled, leaves: [] };
 }
@@ -109,7 +109,7 @@
  * never be added to again, so the first leaf is then left nearly full.
  */
 function split(from: string, entries: Entry[], most: number, appends: boolean): Entry[][] {
-  if (entries.length < 2 || sizeOf(encodeLeaf(from, entries)) <= most) return [entries];
+  if (entries.length < 2 || jsonBytes(encodeLeaf(from, entries)) <= most) return [entries];
   const share = appends ? 0.9 : 0.5;
   const at = Math.min(entries.length - 1, Math.max(1, Math.floor(entries.length * share)));
   const first = entries.slice(0, at);
--- a/src/cloud/fleet.ts
+++ b/src/cloud/fleet.ts
@@ -1,10 +1,10 @@
 import { type Clock, sleep } from "../clock.js";
 import type { Caller } from "../http/client.js";
 import type { Log } from "../log.js";
-import type { Need, Summaries, Summary } from "../part/summary.js";
-import { Budget } from "../state/budget.js";
+import type { CapacityRequest, Summaries, Summary } from "../part/summary.js";
 import { keys } from "../state/keys.js";
 import type { Mirror } from "../state/mirror.js";
+import { RateLimiter } from "../state/rate-limiter.js";
 import { typesKey } from "../state/schema.js";
 import type { Condition, Store } from "../state/store.js";
 import * as wire from "../wire/cloud.js";
@@ -33,7 +33,7 @@
   /** CPUs of idle machines that are kept beyond the own demand. */
   kept(): number;
   /** What machines may be rented for beyond the own need, once that is met. */
-  wanted(): Need[];
+  wanted(): CapacityRequest[];
   /** Whether a machine would do for a job with expressions. */
   suits(job: string, offer: Offer): boolean;
   /** Whether records were restored, and owners do not place anything yet. */
@@ -49,7 +49,7 @@
 
 /** Rents and returns machines. Only the leader runs one. */
 export class Fleet {
-  readonly #budget: Budget;
+  readonly #budget: RateLimiter;
   readonly #listed = new Map<string, wire.ListedMachine & { seenAt: number }>();
   /** Rented by us and not listed yet. */
   readonly #rented = new Map<string, wire.ListedMachine & { at: number }>();
@@ -74,7 +74,7 @@
   #open: { offer: Offer; request: string; count: number } | null = null;
 
   constructor(readonly ctx: FleetContext) {
-    this.#budget = new Budget(ctx.rps * 0.8, ctx.rps, ctx.clock);
+    this.#budget = new RateLimiter(ctx.rps * 0.8, ctx.rps, ctx.clock);
     this.#startedAt = ctx.clock.now();
     this.#surplus = new Surplus(ctx);
     this.#shortSince = this.#startedAt;
@@ -226,7 +226,7 @@
     }
     // The cloud confirmed it: everything on these machines is gone. The parts' owners read it here.
     for (const some of portions(names, this.ctx.store.limits.valueBytes)) {
-      const key = keys.gone(`${this.ctx.token}-${++this.#returns}`);
+      const key = keys.goneMachines(`${this.ctx.token}-${++this.#returns}`);
       this.ctx.store.writes.force(1);
       await this.#until(() => this.ctx.store.transact([], [{ put: key, value: some }]));
     }
@@ -263,7 +263,7 @@
     if (summaries.length === 0) return;
     const cheap = this.ctx.dear * cheapestOf(this.#types);
     const needs = summaries.flatMap(({ need }) =>
-      need.map((one): Need => (one.lent === true ? { ...one, most: cheap } : one)),
+      need.map((one): CapacityRequest => (one.lent === true ? { ...one, most: cheap } : one)),
     );
     const booting = [...this.#rented.values(), ...this.#listed.values()].filter(
       ({ id }) => !this.#heard.has(id) && !this.#returned.has(id),
--- a/src/cloud/forgetting.ts
+++ b/src/cloud/forgetting.ts
@@ -46,7 +46,7 @@
   /** Deletes records that are old enough, a few at a time, when there is budget to spare. */
   async step(): Promise<void> {
     const now = this.clock.now();
-    const prefix = keys.gone("");
+    const prefix = keys.goneMachines("");
     const old: { key: string; version: number }[] = [];
     for (const [key, { version }] of this.mirror.rows) {
       if (!key.startsWith(prefix)) continue;
--- a/src/cloud/plan.ts
+++ b/src/cloud/plan.ts
@@ -1,4 +1,4 @@
-import type { Need } from "../part/summary.js";
+import type { CapacityRequest } from "../part/summary.js";
 import type { ListedMachine, MachineType } from "../wire/cloud.js";
 
 export interface Offer {
@@ -27,7 +27,7 @@
 /** Whether a machine would do for a job whose expressions say so. */
 export type Suits = (job: string, offer: Offer) => boolean;
 
-const fits = (bin: Bin, need: Need, suits: Suits): boolean =>
+const fits = (bin: Bin, need: CapacityRequest, suits: Suits): boolean =>
   bin.cpus >= need.cpus &&
   bin.gpus >= need.gpus &&
   bin.memGb >= need.memGb &&
@@ -47,16 +47,16 @@
   offer,
 });
 
-const take = (bin: Bin, need: Need): void => {
+const take = (bin: Bin, need: CapacityRequest): void => {
   bin.cpus -= need.cpus;
   bin.gpus -= need.gpus;
   bin.memGb -= need.memGb;
 };
 
-const covered = ({ price, type }: Offer, { most }: Need): boolean =>
+const covered = ({ price, type }: Offer, { most }: CapacityRequest): boolean =>
   most === undefined || price <= most * type.cpus;
 
-const tasksPer = (type: MachineType, need: Need): number =>
+const tasksPer = (type: MachineType, need: CapacityRequest): number =>
   Math.floor(
     Math.min(
       need.cpus > 0 ? type.cpus / need.cpus : Number.POSITIVE_INFINITY,
@@ -73,7 +73,7 @@
  * nobody knows how much of each there is.
  */
 export function plan(
-  needs: readonly Need[],
+  needs: readonly CapacityRequest[],
   booting: readonly ListedMachine[],
   types: ReadonlyMap<string, MachineType>,
   offers: readonly Offer[],
--- a/src/cloud/surplus.ts
+++ b/src/cloud/surplus.ts
@@ -1,9 +1,9 @@
-import { roomOf, type Summary } from "../part/summary.js";
+import { type Summary, totalCapacity } from "../part/summary.js";
 import type { ListedMachine, MachineType } from "../wire/cloud.js";
 import type { FleetContext } from "./fleet.js";
 
 export const roomIn = (summaries: readonly Summary[]): number =>
-  summaries.reduce((sum, { kinds }) => sum + roomOf(kinds, () => true).capacity, 0);
+  summaries.reduce((sum, { kinds }) => sum + totalCapacity(kinds, () => true).capacity, 0);
 
 /** The lowest price of a CPU, whether it can be had now or not. */
 export function cheapestOf(types: ReadonlyMap<string, MachineType>): number {
--- a/src/configuration/author.ts
+++ b/src/configuration/author.ts
@@ -2,7 +2,7 @@
 import type { Core } from "../extension/index.js";
 import type { Amounts } from "../fair/share.js";
 import { keys } from "../state/keys.js";
-import { ARCHIVE_SCHEMA, CONFIGURED_SCHEMA, schemaOf } from "../state/schema.js";
+import { ARCHIVE_SCHEMA, CONFIGURATION_SCHEMA, schemaOf } from "../state/schema.js";
 import type { Change, Condition } from "../state/store.js";
 import {
   type BaseConfiguration,
@@ -53,7 +53,7 @@
 function notFollowing({ layout, mirror }: Core): string[] {
   return layout.members.flatMap(({ name }) => {
     const value = mirror.rows.get(keys.node(name))?.value as { schema?: unknown } | undefined;
-    const knows = typeof value?.schema === "number" && value.schema >= CONFIGURED_SCHEMA;
+    const knows = typeof value?.schema === "number" && value.schema >= CONFIGURATION_SCHEMA;
     return knows ? [] : [name];
   });
 }
@@ -70,7 +70,7 @@
   /** @throws when the state service does not answer: the change may have been made all the same */
   async apply(request: ChangeRequest): Promise<ChangeResult> {
     for (let attempt = 0; attempt < TRIES; attempt++) {
-      await this.core.mirror.current();
+      await this.core.mirror.waitUntilCurrent();
       const result = await this.#try(request);
       if (result !== null) return result;
     }
@@ -122,7 +122,7 @@
    */
   async #begin(): Promise<Beginning> {
     const { store, mirror, layout, log } = this.core;
-    if (schemaOf(mirror).version >= CONFIGURED_SCHEMA) return { kind: "begun" };
+    if (schemaOf(mirror).version >= CONFIGURATION_SCHEMA) return { kind: "begun" };
     const behind = notFollowing(this.core);
     if (behind.length > 0) {
       const reason = `not all controllers are there and follow revisions: ${behind.join(", ")}`;
@@ -138,11 +138,11 @@
     store.writes.force(1);
     const result = await store.transact(
       [{ key: keys.schema, version: stamp }, ...presence],
-      [{ put: keys.schema, value: { version: CONFIGURED_SCHEMA } }],
+      [{ put: keys.schema, value: { version: CONFIGURATION_SCHEMA } }],
     );
     if (!result.ok) return { kind: "again" };
-    log.info({ schema: CONFIGURED_SCHEMA }, "configuration may change while serving");
-    await mirror.reached(result.revision);
+    log.info({ schema: CONFIGURATION_SCHEMA }, "configuration may change while serving");
+    await mirror.waitForRevision(result.revision);
     return { kind: "begun" };
   }
 
@@ -188,11 +188,11 @@
     store.writes.force(then.length);
     const result = await store.transact(when, then);
     if (result.ok) {
-      await mirror.reached(result.revision);
+      await mirror.waitForRevision(result.revision);
       void this.#tidy(revision, result.revision).catch(() => undefined);
       return true;
     }
-    await mirror.reached(result.revision);
+    await mirror.waitForRevision(result.revision);
     return null;
   }
 
--- a/src/configuration/effective.ts
+++ b/src/configuration/effective.ts
@@ -1,6 +1,6 @@
 /** What holds under a revision: pure functions on the platform's settings and the overrides. */
-import { type Amounts, add, type Group, ROOT } from "../fair/share.js";
-import { bounded, shownLimit } from "../quota/limits.js";
+import { type Amounts, addAmounts, type Group, ROOT } from "../fair/share.js";
+import { isLimited, shownLimit } from "../quota/limits.js";
 import type { Team } from "../settings/settings.js";
 import type { ConfiguredAmounts, ConfiguredGroup, ConfiguredTeam, Overrides } from "./records.js";
 
@@ -73,7 +73,7 @@
     const asked = limit?.[resource];
     if (asked === undefined) continue;
     const label = LABELS[resource];
-    if (!bounded(most[resource]))
+    if (!isLimited(most[resource]))
       return `${name}: has no limit of ${label} on the platform, and none can be set while serving`;
     if (asked > most[resource])
       return `${name}: a limit of ${asked} ${label} is above the platform's, ${most[resource]}`;
@@ -153,7 +153,7 @@
     placed.push({ ...leaf, parent, weight: own?.weight ?? leaf.weight, nominal });
     for (let at: string | null = parent; at !== null; at = groups.get(at)?.parent ?? null) {
       const group = groups.get(at);
-      if (group !== undefined) group.nominal = add(group.nominal, nominal);
+      if (group !== undefined) group.nominal = addAmounts(group.nominal, nominal);
     }
   }
   return [...groups.values(), ...placed];
@@ -206,7 +206,7 @@
   const warnings: string[] = [];
   let sum: Amounts = { cpus: 0, gpus: 0 };
   for (const [name, guarantee] of guarantees) {
-    sum = add(sum, guarantee);
+    sum = addAmounts(sum, guarantee);
     const limit = limits.get(name);
     for (const resource of RESOURCES) {
       if (limit === undefined || guarantee[resource] <= limit[resource]) continue;
--- a/src/configuration/live.ts
+++ b/src/configuration/live.ts
@@ -111,7 +111,7 @@
       clock.after(sayMs, look);
     };
     clock.after(sayMs, look);
-    void this.options.mirror.reached(0).then(() => this.#follow());
+    void this.options.mirror.waitForRevision(0).then(() => this.#follow());
   }
 
   stop(): void {
--- a/src/controller/configured.ts
+++ b/src/controller/controller-configuration.ts
@@ -11,7 +11,7 @@
 import type { Router } from "../http/server.js";
 import type { Tuning } from "../settings/tuning.js";
 
-export class Configured {
+export class ControllerConfiguration {
   readonly live: LiveConfiguration;
   readonly find: Router["find"];
   /** Teams of packages, which have no limit of the platform's. */
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,39 +1,39 @@
 import { Fleet } from "../cloud/fleet.js";
-import type { Attachment, Core, PlacingRules } from "../extension/index.js";
-import { Tree } from "../fair/share.js";
+import type { Attachment, Core, PlacementPolicy } from "../extension/index.js";
+import { ShareTree } from "../fair/share.js";
 import { type Reply, type Router, retryLater } from "../http/server.js";
-import { targetsOf } from "../jobs/due.js";
+import { targetsOf } from "../jobs/due-time.js";
 import { Layout } from "../membership/layout.js";
 import { Membership } from "../membership/membership.js";
-import { allRead } from "../membership/presence.js";
+import { allReadCurrentFormat } from "../membership/presence.js";
 import { Metrics } from "../metrics.js";
 import type { PartContext } from "../part/part.js";
-import { settleMsOf } from "../part/settling.js";
+import { restoreReconciliationMs } from "../part/restore-reconciliation.js";
 import { isSummary, Summaries, type Summary } from "../part/summary.js";
 import type { Frame } from "../peer/frames.js";
 import { Pipelines } from "../pipeline/index.js";
-import { teamFaults } from "../quota/limits.js";
+import { teamConfigErrors } from "../quota/limits.js";
 import { clusterOf, type Settings } from "../settings/settings.js";
 import { defaultTuning, type Tuning } from "../settings/tuning.js";
 import { keys } from "../state/keys.js";
 import { Mirror } from "../state/mirror.js";
-import { restoredOf, tokenOf } from "../state/restored.js";
-import { schemaOf, unreadable } from "../state/schema.js";
+import { fencingTokenOf, restoreStateOf } from "../state/restore-state.js";
+import { schemaIncompatibility, schemaOf } from "../state/schema.js";
 import type { MachineType } from "../wire/cloud.js";
 import { ordersBody } from "../wire/workers.js";
-import { Places } from "../workers/places.js";
-import { Configured } from "./configured.js";
-import { Gone } from "./gone.js";
+import { PlacementConstraints } from "../workers/placement-constraints.js";
+import { ControllerConfiguration } from "./controller-configuration.js";
+import { GoneMachines } from "./gone-machines.js";
 import { History } from "./history.js";
+import { JobApi } from "./job-api.js";
+import { OpenJobs } from "./open-jobs.js";
 import type { ControllerOptions, Links } from "./options.js";
-import { Owners } from "./owners.js";
-import { Reach } from "./reach.js";
+import { OwnedParts } from "./owned-parts.js";
+import { claimsOf, peersOf } from "./package-access.js";
+import { ReachabilityMonitor } from "./reachability.js";
 import { Refusals } from "./refusals.js";
 import { routerOf } from "./routes.js";
-import { claimsOf, peersOf } from "./seam.js";
-import { Standing } from "./standing.js";
-import { standingOf } from "./status.js";
-import { Users } from "./users.js";
+import { partAndTeamStatus } from "./status.js";
 
 /** One controller: answers users and workers, owns parts, and leads when it is its turn. */
 export class Controller {
@@ -44,22 +44,22 @@
   readonly #core: Core;
   readonly #membership: Membership;
   readonly #metrics: Metrics;
-  readonly #users: Users;
+  readonly #users: JobApi;
   readonly #refusals: Refusals;
-  readonly #owners: Owners;
-  readonly #standing: Standing;
-  readonly #configured: Configured;
-  readonly #gone: Gone;
+  readonly #owners: OwnedParts;
+  readonly #standing: OpenJobs;
+  readonly #configured: ControllerConfiguration;
+  readonly #gone: GoneMachines;
   readonly #history: History;
   readonly #attached: Attachment[];
   readonly #fatal: (why: string) => void;
-  readonly #rules: PlacingRules | null;
-  readonly #places: Places;
+  readonly #rules: PlacementPolicy | null;
+  readonly #places: PlacementConstraints;
   readonly #pipelines: Pipelines;
   #types = new Map<string, MachineType>();
   #fleet: Fleet | null = null;
   #led: { stop(): void }[] = [];
-  readonly #reach: Reach;
+  readonly #reach: ReachabilityMonitor;
 
   constructor(options: ControllerOptions) {
     const { settings, tuning, extensions, archive, log, clock, links, run } = options;
@@ -96,50 +96,51 @@
       () => this.#history.figures(),
       () => this.#configured.live.effective.revision,
     );
-    this.#configured = new Configured(core, this.#tuning, extensions ?? [], () =>
+    this.#configured = new ControllerConfiguration(core, this.#tuning, extensions ?? [], () =>
       this.#standing.reconfigured(),
     );
     this.#attached = (extensions ?? []).map((extension) => extension.attach(core));
-    this.#rules = this.#attached.find(({ rules }) => rules !== undefined)?.rules ?? null;
+    this.#rules = this.#attached.find(({ policy: rules }) => rules !== undefined)?.policy ?? null;
     // Before all others that follow the headers: they ask it about what they have just heard.
     this.#pipelines = new Pipelines(mirror, links.store, clock, log, reportMs, (id) =>
       this.#users.ended(id),
     );
-    this.#places = new Places(
-      this.#attached.find(({ matching }) => matching !== undefined)?.matching ?? null,
+    this.#places = new PlacementConstraints(
+      this.#attached.find(({ matcher: matching }) => matching !== undefined)?.matcher ?? null,
       (id) => this.#pipelines.waits(id),
     );
-    this.#standing = new Standing(
+    this.#standing = new OpenJobs(
       () => this.#configured.live.effective.guarantees,
       targetsOf(params.objectives),
       core.summaries,
       clock,
       reportMs / 4,
-      (id, spec) => this.#places.idle(id, spec),
+      (id, spec) => this.#places.cannotStart(id, spec),
       this.#pipelines,
     );
-    this.#owners = new Owners(
+    this.#owners = new OwnedParts(
       core,
       () => this.#membership,
       (index, stamp, lost) => this.#contextOf(index, stamp, lost),
       (part, machine, token, mark) => {
-        for (const { strayed } of this.#attached) strayed?.(part, machine, token, mark);
+        for (const { onMisroutedReport: strayed } of this.#attached)
+          strayed?.(part, machine, token, mark);
       },
       () => this.#metrics.add({ kind: "event", what: "report malformed" }),
       (name) => this.#doubted(name),
     );
     const { parts } = this.#owners;
-    this.#gone = new Gone(mirror, (machines) => {
+    this.#gone = new GoneMachines(mirror, (machines) => {
       for (const owner of parts.values()) owner.tell({ kind: "gone", machines });
     });
     this.#history = new History(
       core,
       archive ?? null,
       (id) => [...parts.values()].some(({ jobs }) => jobs.has(id)),
-      (id) => this.#attached.some(({ wants }) => wants?.(id) === true),
+      (id) => this.#attached.some(({ needsHeader: wants }) => wants?.(id) === true),
     );
     this.#refusals = new Refusals(this.#configured.teams, clock, log, this.#metrics, 60_000);
-    this.#users = new Users(
+    this.#users = new JobApi(
       core,
       (team) => this.#configured.most(team),
       parts,
@@ -150,7 +151,8 @@
       (team) => this.#configured.guaranteed(team),
       this.#pipelines,
     );
-    for (const fault of teamFaults(params.teams)) log.warn(fault, "a team cannot use what it has");
+    for (const fault of teamConfigErrors(params.teams))
+      log.warn(fault, "a team cannot use what it has");
     this.router = routerOf({
       users: this.#users,
       attached: [this.#configured, ...this.#attached],
@@ -180,7 +182,7 @@
       (extensions ?? []).map(({ name }) => name),
       (name) => this.#doubted(name),
     );
-    this.#reach = new Reach(
+    this.#reach = new ReachabilityMonitor(
       clock,
       params.workers.lease_s * 1000,
       () => this.#membership,
@@ -192,7 +194,7 @@
 
   /** Whether some package has doubts that another controller serves. */
   #doubted(name: string): boolean {
-    return this.#attached.some(({ doubts }) => doubts?.(name) === true);
+    return this.#attached.some(({ isSuspected: doubts }) => doubts?.(name) === true);
   }
 
   #follow(): void {
@@ -214,7 +216,7 @@
       });
     }
     mirror.on(keys.schema, () => {
-      const why = unreadable(schemaOf(mirror));
+      const why = schemaIncompatibility(schemaOf(mirror));
       if (why === null) return;
       this.stop();
       this.#fatal(why);
@@ -242,7 +244,7 @@
 
   /** Something that another controller sent. */
   hear(frame: Frame, from: string): void {
-    for (const { hears } of this.#attached) hears?.(from, frame);
+    for (const { onFrame: hears } of this.#attached) hears?.(from, frame);
     if (frame.kind === "cancelled") this.#owners.calledOff(frame.job, frame.version);
     if (frame.kind === "summary" && isSummary(frame.summary)) this.#hear(frame.part, frame.summary);
   }
@@ -251,14 +253,14 @@
     this.#core.summaries.offer(part, summary);
     // Its owner speaks with a newer token than ours: we have been replaced, and out of touch.
     const stamp = this.#membership.owned.get(part);
-    if (stamp !== undefined && summary.token > tokenOf(this.#core.mirror, stamp)) {
+    if (stamp !== undefined && summary.token > fencingTokenOf(this.#core.mirror, stamp)) {
       this.#membership.owned.delete(part);
       this.#owners.lost(part, "another owner speaks");
     }
   }
 
   closed(from: string): void {
-    for (const { closed } of this.#attached) closed?.(from);
+    for (const { onPeerClosed: closed } of this.#attached) closed?.(from);
   }
 
   /** Gives all that it owns to others and takes nothing any more, until `on` is false. */
@@ -271,25 +273,25 @@
   #contextOf(index: number, stamp: number, lost: (why: string) => void): PartContext {
     const { store, mirror, clock, log, layout, summaries } = this.#core;
     const { params } = this.#settings;
-    const token = tokenOf(mirror, stamp);
+    const token = fencingTokenOf(mirror, stamp);
     const { live } = this.#configured;
     return {
       index,
       token,
       claim: { key: keys.claim(index), version: stamp },
-      settleMs: settleMsOf(params.workers),
-      settling: () => restoredOf(mirror).state === "settling",
+      restoreReconciliationMs: restoreReconciliationMs(params.workers),
+      reconcilingRestore: () => restoreStateOf(mirror).state === "settling",
       store,
       mirror,
       clock,
       log,
       valid: () => this.#membership.valid(),
       types: () => this.#types,
-      newTree: () => new Tree(live.effective.groups),
+      newShareTree: () => new ShareTree(live.effective.groups),
       ...this.#tuning.preemption,
       parts: layout.parts,
       partsOf: (zone) => layout.partsOf(zone),
-      doubtful: (part) => {
+      ownerSuspected: (part) => {
         const owner = this.#membership.ownerOf(part);
         return owner !== null && this.#doubted(owner);
       },
@@ -297,26 +299,26 @@
         return live.limits;
       },
       configuration: live,
-      lentTo: (team) => live.limits.has(team) && !this.#configured.guaranteed(team),
-      rules: this.#rules,
-      places: this.#places,
+      isBorrower: (team) => live.limits.has(team) && !this.#configured.guaranteed(team),
+      policy: this.#rules,
+      constraints: this.#places,
       summaries,
       metrics: this.#metrics,
       targets: this.#standing.targets,
       pipelines: this.#pipelines,
-      together: () => mirror.ready && allRead(mirror),
-      gone: this.#gone.machines,
+      allReadCurrentFormat: () => mirror.ready && allReadCurrentFormat(mirror),
+      goneMachines: this.#gone.machines,
       guaranteed: () => this.#standing.guaranteed(),
-      timely: () => this.#standing.timely(),
-      order: (address, session, commands) =>
+      onTime: () => this.#standing.onTime(),
+      sendCommands: (address, session, commands) =>
         this.#links.order(address, ordersBody(token, session, commands)),
-      announce: (summary) => {
+      publishSummary: (summary) => {
         this.#hear(index, summary);
         this.#core.peers.broadcast({ kind: "summary", part: index, summary });
       },
       reportMs: params.workers.report_s * 1000,
       leaseMs: params.workers.lease_s * 1000,
-      lost,
+      onClaimLost: lost,
     };
   }
 
@@ -324,8 +326,9 @@
     this.#depose();
     const { store, mirror, clock, log, summaries } = this.#core;
     const { params } = this.#settings;
-    const token = tokenOf(mirror, stamp);
-    const valid = (): boolean => this.#membership.valid() && this.#membership.leaderStamp === stamp;
+    const token = fencingTokenOf(mirror, stamp);
+    const valid = (): boolean =>
+      this.#membership.valid() && this.#membership.leaderClaimVersion === stamp;
     log.info({ token }, "leading");
     const claim = { key: this.#membership.leaderKey, version: stamp };
     this.#fleet = new Fleet({
@@ -341,15 +344,15 @@
       listLagMs: params.cloud.list_lag_s * 1000,
       leaseMs: params.workers.lease_s * 1000,
       ...this.#tuning.rental,
-      yields: (team) => this.#rules?.yields(team) === true,
-      kept: () => this.#rules?.kept() ?? 0,
-      wanted: () => this.#rules?.wanted() ?? [],
+      yields: (team) => this.#rules?.preemptible(team) === true,
+      kept: () => this.#rules?.idleCpusToKeep() ?? 0,
+      wanted: () => this.#rules?.capacityRequests() ?? [],
       // Whether a machine that could be rented would do for a job, empty as it comes.
       suits: (job, { type, zone, spot }) => {
         const spec = this.#standing.open.get(job)?.spec;
-        return spec !== undefined && this.#places.may(spec, { type: type.name, zone, spot });
+        return spec !== undefined && this.#places.allows(spec, { type: type.name, zone, spot });
       },
-      settling: () => restoredOf(mirror).state === "settling",
+      settling: () => restoreStateOf(mirror).state === "settling",
       valid,
     });
     this.#fleet.start();
@@ -371,7 +374,7 @@
   #health(): Reply {
     const leaseMs = this.#settings.params.workers.lease_s * 1000;
     const fresh = this.#core.staleness() < leaseMs / 2;
-    const { state } = restoredOf(this.#core.mirror);
+    const { state } = restoreStateOf(this.#core.mirror);
     const usable = state === "none" || state === "settled";
     if (this.#types.size > 0 && fresh && usable) return { status: 200, body: { ok: true } };
     return retryLater(503, "not ready");
@@ -390,7 +393,7 @@
     const own = {
       node: this.#settings.node_name,
       leads: this.#fleet !== null,
-      ...standingOf(this.#core, this.#configured.live.effective, jobsOf),
+      ...partAndTeamStatus(this.#core, this.#configured.live.effective, jobsOf),
       history: this.#history.status(),
       refused: this.#refusals.status(),
     };
--- a/src/controller/awaited.ts
+++ b/src/controller/dependencies.ts
@@ -1,6 +1,6 @@
 import type { Reply } from "../http/server.js";
-import type { Header } from "../jobs/header.js";
-import type { Past } from "../jobs/past.js";
+import type { JobHeader } from "../jobs/job-header.js";
+import type { JobOutcome } from "../jobs/job-outcome.js";
 import type { After } from "../wire/jobs.js";
 
 /**
@@ -10,10 +10,10 @@
  * `cancelled`: one of them is, so this job is as well from the beginning.
  * @param look what is known of a job; null: it was never accepted. Throws while that cannot be said
  */
-export async function awaitedBy(
+export async function resolveDependencies(
   id: string,
   named: readonly string[],
-  look: (id: string) => Promise<{ header: Header } | { past: Past } | null>,
+  look: (id: string) => Promise<{ header: JobHeader } | { past: JobOutcome } | null>,
 ): Promise<Reply | { after: After; cancelled: boolean }> {
   const after: After = { jobs: [] };
   let cancelled = false;
--- a/src/controller/gone.ts
+++ b/src/controller/gone-machines.ts
@@ -1,14 +1,14 @@
 import { keys } from "../state/keys.js";
 import type { Mirror } from "../state/mirror.js";
 
-const PREFIX = keys.gone("");
+const PREFIX = keys.goneMachines("");
 
 /**
  * Machines that the cloud has confirmed to be gone, as long as their records are there. A record is
  * the proof that nothing of a machine is left; who lacks it gets it anew by returning the machine
  * once more, for the cloud confirms names that it does not know as well.
  */
-export class Gone {
+export class GoneMachines {
   readonly machines = new Set<string>();
   readonly #byKey = new Map<string, string[]>();
 
--- a/src/controller/history.ts
+++ b/src/controller/history.ts
@@ -1,12 +1,12 @@
 import { sleep } from "../clock.js";
-import type { Core, Leading } from "../extension/index.js";
-import { isHeader, isTidy } from "../jobs/header.js";
-import type { Past } from "../jobs/past.js";
+import type { Core, LeaderTerm } from "../extension/index.js";
+import { isFullyReleased, isHeader } from "../jobs/job-header.js";
+import type { JobOutcome } from "../jobs/job-outcome.js";
 import type { HistoryFigures } from "../metrics.js";
 import { defaultArchive } from "../settings/tuning.js";
 import { Admission } from "../state/admission.js";
-import { HEADERS, keys } from "../state/keys.js";
-import { restoredOf } from "../state/restored.js";
+import { JOB_HEADER_PREFIX, keys } from "../state/keys.js";
+import { restoreStateOf } from "../state/restore-state.js";
 import { schemaOf } from "../state/schema.js";
 import { type Condition, Refused, type Row } from "../state/store.js";
 
@@ -29,7 +29,7 @@
 const PAGE = 200;
 
 /** What a new job of an id has to depend on; or its state, if it has been over for long. */
-export type Guard = { past: Past } | { when: Condition[] };
+export type Guard = { past: JobOutcome } | { when: Condition[] };
 
 /**
  * Jobs that are over: which of them this controller keeps in memory, which the leader moves into
@@ -66,15 +66,15 @@
   ) {
     this.#options = begins ?? defaultArchive;
     this.#strangers = new Admission(core.store.limits.rps / (4 * core.layout.parts), core.clock);
-    core.mirror.on(HEADERS, ({ key, value, deleted }) => {
-      const id = key.slice(HEADERS.length);
+    core.mirror.on(JOB_HEADER_PREFIX, ({ key, value, deleted }) => {
+      const id = key.slice(JOB_HEADER_PREFIX.length);
       if (deleted) {
         this.#over.delete(id);
         this.#kept.delete(id);
       } else if (!isHeader(value)) {
         // Nothing is guessed: who asks for it hears 503 until somebody has looked at it.
         core.log.error({ key }, "header set aside: it cannot be read");
-      } else if (isTidy(value) && !this.#over.has(id) && !this.#kept.has(id)) {
+      } else if (isFullyReleased(value) && !this.#over.has(id) && !this.#kept.has(id)) {
         (wanted(id) ? this.#kept : this.#over).set(id, core.clock.now());
         this.#review();
         this.#fade();
@@ -83,7 +83,7 @@
     core.mirror.on(keys.schema, ({ deleted }) => {
       if (!deleted) this.#begunAt = Math.min(this.#begunAt, core.clock.now());
     });
-    core.mirror.passes = (row) => this.#passes(row);
+    core.mirror.skipsRow = (row) => this.#passes(row);
   }
 
   figures(): HistoryFigures {
@@ -126,8 +126,13 @@
 
   /** Rows that a reading of all keys need not keep. */
   #passes({ key, value }: Row): boolean {
-    if (!key.startsWith(HEADERS) || this.#over.size < this.#most) return false;
-    if (!isHeader(value) || !isTidy(value) || this.wanted(key.slice(HEADERS.length))) return false;
+    if (!key.startsWith(JOB_HEADER_PREFIX) || this.#over.size < this.#most) return false;
+    if (
+      !isHeader(value) ||
+      !isFullyReleased(value) ||
+      this.wanted(key.slice(JOB_HEADER_PREFIX.length))
+    )
+      return false;
     this.#backlogSince ??= this.core.clock.now();
     return true;
   }
@@ -146,7 +151,7 @@
         continue;
       }
       this.#backlogSince ??= clock.now();
-      mirror.forget(keys.job(id));
+      mirror.evict(keys.job(id));
     }
   }
 
@@ -169,11 +174,11 @@
    * @throws Refused beyond that
    */
   admit(id: string): void {
-    if (!this.#strangers.pass(id)) throw new Refused("too many questions about unknown jobs");
+    if (!this.#strangers.admit(id)) throw new Refused("too many questions about unknown jobs");
   }
 
   /** The final state of an archived job that is remembered. */
-  recall(id: string): Past | null {
+  recall(id: string): JobOutcome | null {
     return this.#lookups?.recall(id) ?? null;
   }
 
@@ -182,7 +187,7 @@
    * and not first: a controller that has just started hears of it while a question is on its way.
    */
   #whole(): void {
-    if (restoredOf(this.core.mirror).state === "filling") throw new Refused("being restored");
+    if (restoreStateOf(this.core.mirror).state === "filling") throw new Refused("being restored");
   }
 
   /**
@@ -190,7 +195,7 @@
    * header for it: a job is in one of both at every moment.
    * @throws Refused while it cannot be said
    */
-  async find(id: string): Promise<Past | null> {
+  async find(id: string): Promise<JobOutcome | null> {
     this.#whole();
     if (schemaOf(this.core.mirror).version > 1) return (await this.#open()).find(id);
     // Nothing is archived for a while after the archive has begun. So whoever heard of no archive
@@ -219,7 +224,7 @@
   // ---- moving ------------------------------------------------------------------------------
 
   /** What the leader does: begins the archive when there is enough for it, and fills it. */
-  lead(leading: Leading): { stop(): void } {
+  lead(leading: LeaderTerm): { stop(): void } {
     let stopped = false;
     const run = async (): Promise<void> => {
       const { clock, log, settings } = this.core;
@@ -249,7 +254,7 @@
 
   /** Waits until there is an archive and something to put into it; nothing is loaded before. */
   async #whenNeeded(
-    leading: Leading,
+    leading: LeaderTerm,
     everyMs: number,
     stopped: () => boolean,
   ): Promise<InstanceType<ArchivePackage["Mover"]> | null> {
@@ -327,11 +332,11 @@
   /** Those that only the store has: it is walked through, a page at a time, in order of their ids. */
   async #walk(before: number): Promise<Row[]> {
     if (this.#backlogSince === null || this.#backlogSince > before) return [];
-    const page = await this.core.store.page(HEADERS, this.#cursor, PAGE);
+    const page = await this.core.store.page(JOB_HEADER_PREFIX, this.#cursor, PAGE);
     const rows = page.rows.filter(({ key, value }) => {
-      const id = key.slice(HEADERS.length);
+      const id = key.slice(JOB_HEADER_PREFIX.length);
       if (this.#over.has(id) || this.#setAside.has(key) || !isHeader(value)) return false;
-      return isTidy(value) && !this.inUse(id) && !this.wanted(id);
+      return isFullyReleased(value) && !this.inUse(id) && !this.wanted(id);
     });
     this.#foundInWalk += rows.length;
     this.#cursor = page.more ? (page.rows.at(-1)?.key ?? null) : null;
--- a/src/controller/users.ts
+++ b/src/controller/job-api.ts
@@ -1,19 +1,19 @@
 import { sleep } from "../clock.js";
-import { type Attachment, type Core, spoken } from "../extension/index.js";
-import { type Amounts, within } from "../fair/share.js";
+import { type Attachment, type Core, isPackagePresent } from "../extension/index.js";
+import { type Amounts, fitsWithin } from "../fair/share.js";
 import { type Reply, retryLater } from "../http/server.js";
-import { cancelOnce } from "../jobs/cancelling.js";
-import { finishedTasks, type Header, isHeader, shownStatus } from "../jobs/header.js";
-import { sizeOf } from "../jobs/page.js";
-import type { Past } from "../jobs/past.js";
+import { tryCancel } from "../jobs/cancel.js";
+import { jsonBytes } from "../jobs/chunk-page.js";
+import { finishedTasks, isHeader, type JobHeader, shownStatus } from "../jobs/job-header.js";
+import type { JobOutcome } from "../jobs/job-outcome.js";
 import type { Part } from "../part/part.js";
 import type { Ended, Pipelines } from "../pipeline/index.js";
-import { Budget } from "../state/budget.js";
 import { keys } from "../state/keys.js";
-import { restoredOf } from "../state/restored.js";
+import { RateLimiter } from "../state/rate-limiter.js";
+import { restoreStateOf } from "../state/restore-state.js";
+import { RetryAfterQueue } from "../state/retry-after.js";
 import { Busy, Refused } from "../state/store.js";
-import { Turns } from "../state/turns.js";
-import { witnessed } from "../state/witnessed.js";
+import { transactConfirmedByWatch } from "../state/watched-transaction.js";
 import {
   isJobId,
   type JobSpec,
@@ -23,14 +23,14 @@
   submittedId,
 } from "../wire/jobs.js";
 import { typeFits } from "../workers/machine.js";
-import type { Places } from "../workers/places.js";
-import { awaitedBy } from "./awaited.js";
-import { dividedHeader } from "./dividing.js";
+import type { PlacementConstraints } from "../workers/placement-constraints.js";
+import { resolveDependencies } from "./dependencies.js";
 import type { History } from "./history.js";
-import type { Never, Refusals } from "./refusals.js";
+import { newJobHeader } from "./new-job-header.js";
+import type { RefusalReason, Refusals } from "./refusals.js";
 
 /** A job by its header, or by what the archive has of it. */
-type Found = { header: Header; version: number } | { past: Past };
+type Found = { header: JobHeader; version: number } | { past: JobOutcome };
 
 /** How often something is tried while others change what it depends on. */
 const TRIES = 4;
@@ -38,11 +38,11 @@
 const RESTORING = "restored records are being completed";
 
 /** Answers users: takes, shows and cancels jobs, whoever owns the parts that run them. */
-export class Users {
+export class JobApi {
   /** Changes that submissions of teams without a guarantee may take. */
-  readonly #borrowers: Budget;
-  readonly #others: Turns;
-  readonly #first: Turns;
+  readonly #borrowers: RateLimiter;
+  readonly #others: RetryAfterQueue;
+  readonly #first: RetryAfterQueue;
 
   constructor(
     readonly core: Core,
@@ -50,7 +50,7 @@
     readonly most: (team: string) => Amounts | undefined,
     readonly parts: ReadonlyMap<number, Part>,
     readonly attached: readonly Attachment[],
-    readonly places: Places,
+    readonly places: PlacementConstraints,
     readonly history: History,
     readonly refusals: Refusals,
     /** Whether a team has a guarantee. */
@@ -59,13 +59,13 @@
   ) {
     const { store, clock, layout } = core;
     const share = store.limits.writeRps / layout.parts;
-    this.#borrowers = new Budget(share / 2, Math.max(1, share / 2), clock);
+    this.#borrowers = new RateLimiter(share / 2, Math.max(1, share / 2), clock);
     // Others come at the same time: what is added is more than those who come back may count on.
-    this.#others = new Turns(() => share / 4, clock);
-    this.#first = new Turns(() => share / 2, clock);
+    this.#others = new RetryAfterQueue(() => share / 4, clock);
+    this.#first = new RetryAfterQueue(() => share / 2, clock);
   }
 
-  #known(id: string): Header | null {
+  #known(id: string): JobHeader | null {
     const row = this.core.mirror.rows.get(keys.job(id));
     return row !== undefined && isHeader(row.value) ? row.value : null;
   }
@@ -95,7 +95,7 @@
 
   /** Whether the records were restored and do not tell of everything yet. */
   #closed(): boolean {
-    const { state } = restoredOf(this.core.mirror);
+    const { state } = restoreStateOf(this.core.mirror);
     return state === "filling" || state === "settling";
   }
 
@@ -114,7 +114,7 @@
     if (known !== undefined && mirror.ready) {
       // Somebody else may have told its end already: what is here counts once it is known to be
       // current, for all who ask at the same time.
-      await mirror.current();
+      await mirror.waitUntilCurrent();
       const row = mirror.rows.get(keys.job(id));
       if (row !== undefined && isHeader(row.value)) {
         return { header: row.value, version: row.version };
@@ -128,7 +128,7 @@
     if (!isHeader(row.value)) throw new Error(`job ${id}: not a header`);
     if (row.value.status === "open" && row.value.spec?.after !== undefined) {
       // What it waits for is known from the watched copy alone.
-      await mirror.current();
+      await mirror.waitUntilCurrent();
       const seen = mirror.rows.get(keys.job(id));
       if (seen === undefined || !isHeader(seen.value)) throw new Refused("not heard of yet");
       return { header: seen.value, version: seen.version };
@@ -172,15 +172,15 @@
           const asked =
             spec.after === undefined
               ? null
-              : await awaitedBy(id, spec.after.jobs, (one) => this.#look(one));
+              : await resolveDependencies(id, spec.after.jobs, (one) => this.#look(one));
           if (asked !== null && "status" in asked) return asked;
-          const header = dividedHeader(
+          const header = newJobHeader(
             this.core,
             this.attached,
             this.places,
             asked === null ? spec : { ...spec, after: asked.after },
           );
-          if (sizeOf(header) > this.core.store.limits.valueBytes) {
+          if (jsonBytes(header) > this.core.store.limits.valueBytes) {
             return retryLater(503, "more jobs are awaited that are not over than a record holds");
           }
           const taken = await this.#take(id, header, asked?.cancelled ?? false);
@@ -214,7 +214,7 @@
    * was over, or applied late, a submission must not give it a second life. Null when it turns out
    * to be known already.
    */
-  async #take(id: string, header: Header, doomed: boolean): Promise<Reply | null> {
+  async #take(id: string, header: JobHeader, doomed: boolean): Promise<Reply | null> {
     const { store, mirror, log } = this.core;
     const key = keys.job(id);
     for (let attempt = 0; attempt < TRIES; attempt++) {
@@ -224,9 +224,9 @@
       }
       const turn = this.#turn(header.spec!.team);
       if (turn !== null) return turn;
-      const mark = mirror.mark();
+      const mark = mirror.listingEpoch();
       const result = await this.#patiently(() =>
-        witnessed(
+        transactConfirmedByWatch(
           store,
           mirror,
           key,
@@ -236,7 +236,10 @@
       );
       if (result.ok) {
         log.debug({ job: id, owners: header.owners }, "job accepted");
-        mirror.learn({ key, value: header, version: result.revision, deleted: false }, mark);
+        mirror.applyIfNotRelisted(
+          { key, value: header, version: result.revision, deleted: false },
+          mark,
+        );
         // One before it may have been cancelled so long ago that this may not be called pending at all.
         const cancelled = doomed || this.pipelines.fate(id) === "cancelled";
         return { status: 201, body: statusBody(id, cancelled ? "cancelled" : "pending") };
@@ -244,7 +247,7 @@
       if (result.failed.includes(key)) return null;
       // The archive has changed where this job would be in it, or has only just begun.
       this.history.changed(result.failed);
-      if (result.failed.includes(keys.schema)) await mirror.reached(result.revision);
+      if (result.failed.includes(keys.schema)) await mirror.waitForRevision(result.revision);
     }
     return retryLater(503, "try again");
   }
@@ -276,39 +279,42 @@
       return null;
     }
     const turns = guaranteed ? this.#first : this.#others;
-    return retryLater(guaranteed ? 503 : 429, "too many submissions at once", turns.take());
+    return retryLater(guaranteed ? 503 : 429, "too many submissions at once", turns.nextDelayS());
   }
 
   /** Why a job can never be taken. */
-  #refusal(id: string, spec: JobSpec): { status: number; why: Never; reason: string } | null {
-    if (spec.match !== undefined && this.places.matching === null) {
+  #refusal(
+    id: string,
+    spec: JobSpec,
+  ): { status: number; why: RefusalReason; reason: string } | null {
+    if (spec.match !== undefined && this.places.matcher === null) {
       const reason = "jobs with expressions are not switched on here";
       // On the way from off to on, or back: another controller may take it.
-      const status = spoken("submit", this.core) ? 503 : 400;
+      const status = isPackagePresent("submit", this.core) ? 503 : 400;
       return { status, why: "no expressions here", reason };
     }
     const never = this.#neverRuns(spec);
     if (never !== null) return { status: 422, ...never };
     if (spec.match === undefined) return null;
-    const refused = this.places.matching!.refuses(id, spec);
+    const refused = this.places.matcher!.rejection(id, spec);
     return refused === null ? null : { ...refused, why: "expressions" };
   }
 
-  #neverRuns(spec: JobSpec): { why: Never; reason: string } | null {
+  #neverRuns(spec: JobSpec): { why: RefusalReason; reason: string } | null {
     const limit = this.most(spec.team);
     if (limit === undefined) return { why: "unknown team", reason: "unknown team" };
     if (![...this.core.types().values()].some((type) => typeFits(spec, type))) {
       return { why: "fits no machine type", reason: "a task fits no allowed machine type" };
     }
     const times = spec.kind === "array" ? 1 : spec.tasks;
-    if (!within({ cpus: spec.cpus * times, gpus: spec.gpus * times }, limit)) {
+    if (!fitsWithin({ cpus: spec.cpus * times, gpus: spec.gpus * times }, limit)) {
       return { why: "over the team's limit", reason: "more than the team's limit" };
     }
     return null;
   }
 
   #notNow(spec: JobSpec): string | null {
-    for (const { refuses } of this.attached) {
+    for (const { refusalReason: refuses } of this.attached) {
       const reason = refuses?.(spec) ?? null;
       if (reason !== null) return reason;
     }
@@ -337,14 +343,14 @@
   }
 
   /** For display: what the finished chunks and our own parts say. */
-  #counts(id: string, header: Header): { done: number; running: number } {
+  #counts(id: string, header: JobHeader): { done: number; running: number } {
     if (header.status === "done") return { done: header.tasks, running: 0 };
     let done = finishedTasks(header);
     let running = 0;
     for (const part of this.parts.values()) {
       for (const chunk of part.jobs.get(id)?.chunks.values() ?? []) {
         if (header.owners[chunk.index] !== "x") done += chunk.doneCount;
-        for (const live of chunk.live.values()) if (live.running) running++;
+        for (const live of chunk.allocations.values()) if (live.running) running++;
       }
     }
     return { done, running };
@@ -363,7 +369,7 @@
           return { status: 200, body: statusBody(id, known.header.status) };
         }
         store.writes.force(2);
-        const version = await this.#patiently(() => cancelOnce(store, mirror, id, known));
+        const version = await this.#patiently(() => tryCancel(store, mirror, id, known));
         if (version !== null) {
           log.info({ job: id }, "job cancelled");
           // Owners hear of it by the watch; one that the store refuses hears of it so.
--- a/src/controller/dividing.ts
+++ b/src/controller/new-job-header.ts
@@ -1,28 +1,33 @@
 import type { Attachment, Core } from "../extension/index.js";
-import { chunkSizeFor, type Header, partChar, undivided } from "../jobs/header.js";
-import { roomOf } from "../part/summary.js";
+import {
+  chooseChunkSize,
+  type JobHeader,
+  partChar,
+  requiresSinglePart,
+} from "../jobs/job-header.js";
+import { totalCapacity } from "../part/summary.js";
 import { storedSpec } from "../pipeline/index.js";
 import type { JobSpec } from "../wire/jobs.js";
-import type { Places } from "../workers/places.js";
+import type { PlacementConstraints } from "../workers/placement-constraints.js";
 
 /** The header of a new job: its tasks are split between the parts, by the room they have. */
-export function dividedHeader(
+export function newJobHeader(
   { layout, summaries, store, clock }: Core,
   attached: readonly Attachment[],
-  places: Places,
+  places: PlacementConstraints,
   spec: JobSpec,
-): Header {
+): JobHeader {
   const { parts } = layout;
-  const chunkSize = chunkSizeFor(spec.tasks, parts, store.limits.valueBytes);
+  const chunkSize = chooseChunkSize(spec.tasks, parts, store.limits.valueBytes);
   const count = Math.ceil(spec.tasks / chunkSize);
-  const rules = attached.find((one) => one.rules?.yields(spec.team))?.rules;
+  const rules = attached.find((one) => one.policy?.preemptible(spec.team))?.policy;
   const room = Array.from({ length: parts }, (_, part) => {
     const summary = summaries.of(part);
     // Where a team has an allowance, that is all the room there is for it.
     const allowance = rules?.allowance(spec.team, part);
-    if (allowance != null) return allowance.start.cpus - (summary?.use[spec.team]?.[0] ?? 0);
+    if (allowance != null) return allowance.startLimit.cpus - (summary?.use[spec.team]?.[0] ?? 0);
     if (summary === undefined) return 0;
-    return roomOf(summary.kinds, (kind) => places.may(spec, kind)).free - summary.waiting;
+    return totalCapacity(summary.kinds, (kind) => places.allows(spec, kind)).free - summary.waiting;
   });
   let owners = "";
   const eligible = spec.zone === null ? [...room.keys()] : layout.partsOf(spec.zone);
@@ -31,7 +36,7 @@
     let best = eligible[0]!;
     for (const part of eligible) if (room[part]! > room[best]!) best = part;
     // Gangs and zone rules concern all tasks of a job at once, so one part has all of them.
-    if (undivided(spec)) {
+    if (requiresSinglePart(spec)) {
       pinned ??= best;
       best = pinned;
     }
--- a/src/controller/standing.ts
+++ b/src/controller/open-jobs.ts
@@ -1,21 +1,21 @@
 import type { Clock } from "../clock.js";
-import { type Amounts, minus, within } from "../fair/share.js";
-import { type Due, timely } from "../fair/timely.js";
-import { dueOf, type Targets } from "../jobs/due.js";
-import { chunksLeft, type Header, isHeader } from "../jobs/header.js";
+import { type DueJob, selectOnTimeJobs } from "../fair/on-time-jobs.js";
+import { type Amounts, fitsWithin, subtractAmounts } from "../fair/share.js";
+import { dueTime, type Targets } from "../jobs/due-time.js";
+import { isHeader, type JobHeader, unfinishedChunks } from "../jobs/job-header.js";
 import type { Summaries } from "../part/summary.js";
 import type { Pipelines } from "../pipeline/index.js";
-import { HEADERS } from "../state/keys.js";
+import { JOB_HEADER_PREFIX } from "../state/keys.js";
 import type { Mirror } from "../state/mirror.js";
 import type { JobSpec } from "../wire/jobs.js";
 
 /** Whether something can start of it may change without a change of its header. */
-const isPicky = (header: Header | undefined): boolean =>
+const isPicky = (header: JobHeader | undefined): boolean =>
   header?.spec?.match !== undefined || header?.spec?.after !== undefined;
 
 /** How all open jobs stand, in whatever part they are: within a guarantee, and in time. */
-export class Standing {
-  readonly open = new Map<string, Header>();
+export class OpenJobs {
+  readonly open = new Map<string, JobHeader>();
   /** Those of them that are within their team's guarantee; null when it has to be found anew. */
   #inside: Set<string> | null = null;
   #insideAt = Number.NEGATIVE_INFINITY;
@@ -38,9 +38,9 @@
   ) {}
 
   /** Follows the headers; tells of each that changes, once it is known here. */
-  follow(mirror: Mirror, tell: (id: string, header: Header) => void): void {
-    mirror.on(HEADERS, ({ key, value, deleted }) => {
-      const id = key.slice(HEADERS.length);
+  follow(mirror: Mirror, tell: (id: string, header: JobHeader) => void): void {
+    mirror.on(JOB_HEADER_PREFIX, ({ key, value, deleted }) => {
+      const id = key.slice(JOB_HEADER_PREFIX.length);
       const known = this.open.get(id);
       if (deleted) {
         // Over and archived while this controller did not hear of either.
@@ -69,8 +69,8 @@
 
   #dueOf(id: string, spec: JobSpec, at: number): number {
     const { pipelines, targets } = this;
-    if (pipelines === null) return dueOf(spec, at, targets);
-    return pipelines.due(id, dueOf(spec, at, targets, pipelines.since(id, at)));
+    if (pipelines === null) return dueTime(spec, at, targets);
+    return pipelines.due(id, dueTime(spec, at, targets, pipelines.since(id, at)));
   }
 
   jobsOf(team: string): number {
@@ -95,23 +95,23 @@
       const rest = spec === undefined ? undefined : left.get(spec.team);
       if (spec === undefined || rest === undefined || this.idle(id, spec)) continue;
       const size = { cpus: spec.cpus * spec.tasks, gpus: spec.gpus * spec.tasks };
-      if (within(size, rest)) this.#inside.add(id);
-      left.set(spec.team, minus(rest, size));
+      if (fitsWithin(size, rest)) this.#inside.add(id);
+      left.set(spec.team, subtractAmounts(rest, size));
     }
     return this.#inside;
   }
 
   /** Jobs that are to be in time, with the CPUs that their teams have now or are guaranteed. */
-  timely(): ReadonlySet<string> {
+  onTime(): ReadonlySet<string> {
     const now = this.clock.now();
     if (now - this.#inTimeAt < this.keepMs) return this.#inTime;
     this.#inTimeAt = now;
     const wall = this.clock.wall();
-    const jobs = new Map<string, Due[]>();
+    const jobs = new Map<string, DueJob[]>();
     for (const [id, { spec, at, owners, chunkSize }] of this.open) {
       if (spec === undefined || this.idle(id, spec)) continue;
-      const left = Math.min(spec.tasks, chunksLeft(owners) * chunkSize);
-      const due: Due = {
+      const left = Math.min(spec.tasks, unfinishedChunks(owners) * chunkSize);
+      const due: DueJob = {
         id,
         rank: this.pipelines?.rank(id, spec.rank) ?? spec.rank,
         leftS: (this.#dueOf(id, spec, at) - wall) / 1000,
@@ -127,7 +127,7 @@
       let cpus = 0;
       for (const [, { use }] of this.summaries.all()) cpus += use[team]?.[0] ?? 0;
       const most = Math.max(1, cpus, this.guarantees().get(team)?.cpus ?? 0);
-      for (const id of timely(list, most)) this.#inTime.add(id);
+      for (const id of selectOnTimeJobs(list, most)) this.#inTime.add(id);
     }
     return this.#inTime;
   }
--- a/src/controller/owners.ts
+++ b/src/controller/owned-parts.ts
@@ -5,10 +5,10 @@
 import { Part, type PartContext } from "../part/part.js";
 import { keys } from "../state/keys.js";
 import { parseReport, type Report, redirectAnswer } from "../wire/workers.js";
-import { type Mark, PATIENCE_MS } from "../workers/evidence.js";
+import { REPORT_TIMEOUT_MS, type ReportPosition } from "../workers/report-classification.js";
 
 /** The owner of the parts that are claimed by this controller: loads them and gives them up. */
-export class Owners {
+export class OwnedParts {
   readonly parts = new Map<number, Part>();
   /** Parts that are claimed and being read, with who waits for that. */
   readonly #loading = new Map<number, (() => void)[]>();
@@ -19,8 +19,12 @@
     /** What a part's owner works with. */
     readonly context: (index: number, token: number, lost: (why: string) => void) => PartContext,
     /** A machine of another's part came here, under the highest token that it has seen. */
-    readonly strayed: (part: number, machine: string, token: number, mark: Mark) => void = () =>
-      undefined,
+    readonly strayed: (
+      part: number,
+      machine: string,
+      token: number,
+      mark: ReportPosition,
+    ) => void = () => undefined,
     /** A report was none by PROTOCOL. */
     readonly malformed: () => void = () => undefined,
     /** Whether there are doubts that a controller serves. */
@@ -41,7 +45,7 @@
     while (held()) {
       try {
         const { rows } = await store.list(keys.records(index));
-        await mirror.reached(token);
+        await mirror.waitForRevision(token);
         if (!held()) return;
         const context = this.context(index, token, (why) => {
           if (!held()) return;
@@ -112,7 +116,7 @@
     const { clock, settings } = this.core;
     const { node_name, params } = settings;
     const { lease_s, report_s } = params.workers;
-    const until = clock.now() + Math.min((lease_s * 1000) / 6, PATIENCE_MS * 0.75);
+    const until = clock.now() + Math.min((lease_s * 1000) / 6, REPORT_TIMEOUT_MS * 0.75);
     return new Promise((resolve) => {
       const look = (): void => {
         const now = this.membership().ownerOf(index);
--- a/src/controller/seam.ts
+++ b/src/controller/package-access.ts
@@ -2,21 +2,25 @@
 import type { Claims, Peers } from "../extension/index.js";
 import type { Membership } from "../membership/membership.js";
 import type { Frame } from "../peer/frames.js";
-import type { Owners } from "./owners.js";
+import type { OwnedParts } from "./owned-parts.js";
 
 /** What packages may see and say of claims. */
-export function claimsOf(run: string, membership: () => Membership, owners: () => Owners): Claims {
+export function claimsOf(
+  run: string,
+  membership: () => Membership,
+  owners: () => OwnedParts,
+): Claims {
   return {
     run,
-    get standings() {
-      return membership().standings;
+    get stability() {
+      return membership().stability;
     },
     valid: () => membership().valid(),
     lease: () => membership().lease,
     ownerOf: (part) => membership().ownerOf(part),
     served: () => owners().served(),
-    inherit: (...asked) => membership().handover.inherit(...asked),
-    stepBack: (forMs, why) => membership().stepBack([...owners().parts.keys()], forMs, why),
+    reassign: (...asked) => membership().handover.reassign(...asked),
+    relinquish: (forMs, why) => membership().relinquish([...owners().parts.keys()], forMs, why),
   };
 }
 
--- a/src/controller/reach.ts
+++ b/src/controller/reachability.ts
@@ -3,7 +3,7 @@
 import type { Part } from "../part/part.js";
 
 /** Notices that those outside do not reach this controller, though the state service does. */
-export class Reach {
+export class ReachabilityMonitor {
   /** When anyone outside last asked us anything: the load balancer does so every second. */
   #askedAt: number | null = null;
   #watchedAt = 0;
@@ -38,13 +38,13 @@
     const late = now - this.#watchedAt > everyMs * 3;
     this.#watchedAt = now;
     const membership = this.membership();
-    membership.pulse();
+    membership.noteProcessAlive();
     if (!late && membership.valid()) {
       const deaf = this.#askedAt !== null && now - this.#askedAt > leaseMs / 3;
-      const leaving = [...parts.keys()].filter((i) => deaf || parts.get(i)!.cutOff());
+      const leaving = [...parts.keys()].filter((i) => deaf || parts.get(i)!.mostMachinesSilent());
       if (leaving.length > 0 || (deaf && this.leads())) {
         membership
-          .stepBack(leaving, deaf ? leaseMs / 2 : leaseMs * 4, "machines do not reach us")
+          .relinquish(leaving, deaf ? leaseMs / 2 : leaseMs * 4, "machines do not reach us")
           .catch(() => undefined);
       }
     }
--- a/src/controller/records.ts
+++ b/src/controller/record-kinds.ts
@@ -1,11 +1,11 @@
 import { isDecision, isHead, isHistoryEntry, isOverrides } from "../configuration/index.js";
-import { headerFault } from "../jobs/header.js";
-import { readPage } from "../jobs/page.js";
+import { readPage } from "../jobs/chunk-page.js";
+import { headerError } from "../jobs/job-header.js";
 import { isClaim } from "../membership/handover.js";
 import { isSummary } from "../part/summary.js";
 import { isSliceRecord } from "../quota/slices.js";
-import { parseRestored } from "../state/restored.js";
-import { Writable } from "../state/writable.js";
+import { RecordValidator } from "../state/record-validator.js";
+import { parseRestoreRecord } from "../state/restore-state.js";
 import { isMap } from "../wire/cbor.js";
 
 const isText = (value: unknown): boolean => typeof value === "string";
@@ -14,9 +14,11 @@
  * What the core writes, each kind with what reads it. Packages add theirs (`Extension.records`);
  * kinds that are not here are only checked for what no store would give back.
  */
-export const coreRecords = (refused?: (key: string, why: string) => void): Writable =>
-  new Writable(refused)
-    .add(/^w\/j\//, (value) => headerFault(value) === null)
+export const coreRecordValidator = (
+  refused?: (key: string, why: string) => void,
+): RecordValidator =>
+  new RecordValidator(refused)
+    .add(/^w\/j\//, (value) => headerError(value) === null)
     .add(/^w\/q\//, isSliceRecord)
     .add(/^c\/\d+\/[pm]\//, (value) => readPage(value) !== null)
     .add(/^c\/\d+\/fence$/, (value) => isText(value) && /^\d+\.\d+$/.test(value as string))
@@ -30,4 +32,4 @@
     .add(/^w\/c\/h\//, isHistoryEntry)
     .add(/^w\/c\/p\//, isOverrides)
     .add(/^w\/d\//, isDecision)
-    .add(/^w\/restored$/, (value) => parseRestored(value) !== null);
+    .add(/^w\/restored$/, (value) => parseRestoreRecord(value) !== null);
--- a/src/controller/refusals.ts
+++ b/src/controller/refusals.ts
@@ -3,7 +3,7 @@
 import type { Metrics } from "../metrics.js";
 
 /** Why a job can never run, in words that do not differ from job to job. */
-export type Never =
+export type RefusalReason =
   | "unknown team"
   | "fits no machine type"
   | "over the team's limit"
@@ -34,7 +34,7 @@
     readonly everyMs: number,
   ) {}
 
-  note(job: string, team: string, why: Never, reason: string): void {
+  note(job: string, team: string, why: RefusalReason, reason: string): void {
     // Anybody may send any name: those that nobody knows are one.
     const label = this.teams.has(team) ? team : "(unknown)";
     this.metrics.add({ kind: "refused", team: label, why });
--- a/src/controller/routes.ts
+++ b/src/controller/routes.ts
@@ -1,11 +1,11 @@
 import type { Attachment } from "../extension/index.js";
 import type { Reply, Route, Router } from "../http/server.js";
 import { drainPath, statusPath } from "../wire/jobs.js";
-import type { Users } from "./users.js";
+import type { JobApi } from "./job-api.js";
 
 /** What a controller answers with. */
 interface Answers {
-  users: Users;
+  users: JobApi;
   attached: readonly Attachment[];
   /** Anyone outside has asked anything. */
   asked(): void;
--- a/src/controller/status.ts
+++ b/src/controller/status.ts
@@ -1,15 +1,15 @@
 import type { EffectiveConfiguration } from "../configuration/index.js";
 import type { Core } from "../extension/index.js";
-import { Tree, within } from "../fair/share.js";
+import { fitsWithin, ShareTree } from "../fair/share.js";
 import { shownLimit } from "../quota/limits.js";
 
 /** What a controller knows of parts and teams, for people and for whoever must be fair. */
-export function standingOf(
+export function partAndTeamStatus(
   { layout, summaries, claims }: Core,
   { revision, groups, limits, guarantees }: EffectiveConfiguration,
   jobsOf: (team: string) => number,
 ): { configuration: number; teams: object[]; parts: object[] } {
-  const tree = new Tree(groups);
+  const tree = new ShareTree(groups);
   const parts = layout.members.map((_, part) => {
     const summary = summaries.of(part);
     for (const [team, [cpus, gpus]] of Object.entries(summary?.use ?? {})) {
@@ -28,7 +28,7 @@
     name,
     use: tree.use(name),
     // Since its limit was lowered: nothing of it starts until it uses less.
-    ...(within(tree.use(name), limit) ? {} : { overLimit: true }),
+    ...(fitsWithin(tree.use(name), limit) ? {} : { overLimit: true }),
     guarantee: guarantees.get(name),
     limit: shownLimit(limit),
     share: tree.share(name),
--- a/src/extension/index.ts
+++ b/src/extension/index.ts
@@ -8,9 +8,9 @@
 import type { Router } from "../http/server.js";
 import type { Log } from "../log.js";
 import type { Layout } from "../membership/layout.js";
-import type { Standings } from "../membership/standing.js";
+import type { ControllerStability } from "../membership/stability.js";
 import type { Inspected, PartInspection } from "../part/inspect.js";
-import type { Need, Summaries } from "../part/summary.js";
+import type { CapacityRequest, Summaries } from "../part/summary.js";
 import type { Frame } from "../peer/frames.js";
 import type { Settings } from "../settings/settings.js";
 import { keys } from "../state/keys.js";
@@ -18,14 +18,14 @@
 import type { Change, Condition, Store } from "../state/store.js";
 import type { MachineType } from "../wire/cloud.js";
 import type { JobSpec } from "../wire/jobs.js";
-import type { Mark } from "../workers/evidence.js";
-import type { MachineKind, Room } from "../workers/machine.js";
+import type { MachineKind, Resources } from "../workers/machine.js";
+import type { ReportPosition } from "../workers/report-classification.js";
 
 /** What this controller has claimed, and what may be said of the claims of others. */
 export interface Claims {
   /** This run of the process. */
   readonly run: string;
-  readonly standings: Standings;
+  readonly stability: ControllerStability;
   /** Whether this controller's lease certainly holds. */
   valid(): boolean;
   /** What a record has to be attached to that ends with this controller; null without a lease. */
@@ -37,14 +37,14 @@
    * Writes all claims of another controller's run for its successors, in one transaction on
    * condition of their versions and of `when`. False when any of it has changed, or nobody is there.
    */
-  inherit(
+  reassign(
     name: string,
     run: string,
     when: readonly Condition[],
     then: readonly Change[],
   ): Promise<boolean>;
   /** Others should own what this controller has, for a while. */
-  stepBack(forMs: number, why: string): Promise<void>;
+  relinquish(forMs: number, why: string): Promise<void>;
 }
 
 /** The other controllers, by frames that may or may not arrive. */
@@ -87,59 +87,59 @@
 /** What a team may use in one part, in place of a slice of a limit. */
 export interface Allowance {
   /** Tasks start as long as they fit into this. */
-  start: Amounts;
+  startLimit: Amounts;
   /** What runs beyond this is stopped, with time to save. */
-  keep: Amounts;
+  softLimit: Amounts;
   /** What is there beyond this is stopped at once. */
-  hold: Amounts;
+  hardLimit: Amounts;
 }
 
 /**
  * What a package says about placing. Pure questions on what it has seen, asked in every pass: they
  * have to be cheap.
  */
-export interface PlacingRules {
+export interface PlacementPolicy {
   /** Whether a team stands behind the others: placed after them, stopped for them at once. */
-  yields(team: string): boolean;
+  preemptible(team: string): boolean;
   /** What such a team may use in a part now; null for teams with a limit of the platform's. */
   allowance(team: string, part: number): Allowance | null;
   /** Teams that have an allowance. */
   teams(): Iterable<string>;
   /** Of those that yield, the one worth least is stopped first. */
-  worth(team: string, part: number): number;
+  preemptionValue(team: string, part: number): number;
   /** CPUs of idle machines that should not go back to the cloud yet. */
-  kept(): number;
+  idleCpusToKeep(): number;
   /** What machines may be rented for, beyond the own teams' need; empty as a rule. */
-  wanted(): Need[];
+  capacityRequests(): CapacityRequest[];
 }
 
 /**
  * Which machines jobs with expressions may use. Pure questions as well: machines of one kind with
  * the same room have to be answered alike, so that an answer can be kept.
  */
-export interface Matching {
+export interface JobMatcher {
   /** How much a job prefers such a machine; null: its tasks may not start there. */
-  rank(spec: JobSpec, on: MachineKind, room: Room | null): number | null;
+  rank(spec: JobSpec, on: MachineKind, room: Resources | null): number | null;
   /** The same question about one job, for whoever goes through all machines. */
-  ranking(spec: JobSpec): (on: MachineKind, room: Room | null) => number | null;
+  rankerFor(spec: JobSpec): (on: MachineKind, room: Resources | null) => number | null;
   /** Whether nothing of a job may start now, whatever room there is. */
-  idle(id: string, spec: JobSpec): boolean;
+  cannotStart(id: string, spec: JobSpec): boolean;
   /** Alike for jobs that get the same answers; null when answers change with room or time. */
-  like(spec: JobSpec): string | null;
+  equivalenceKey(spec: JobSpec): string | null;
   /** Why a job is held: its tasks are stopped, with time to save; null when it is not. */
-  held(id: string): string | null;
+  holdReason(id: string): string | null;
   /** How long one of its tasks may run, milliseconds; null for any time. */
-  mostMs(spec: JobSpec): number | null;
+  maxRunMs(spec: JobSpec): number | null;
   /** How often in a row its tasks may fail; null for any number. */
-  retries(spec: JobSpec): number | null;
+  maxRetries(spec: JobSpec): number | null;
   /** Tells that a job went beyond what it may: it is to be held. May be told again and again. */
   hold(id: string, reason: string): void;
   /** Why a submission can never be taken: the status and the reason; null when it can. */
-  refuses(id: string, spec: JobSpec): { status: number; reason: string } | null;
+  rejection(id: string, spec: JobSpec): { status: number; reason: string } | null;
 }
 
 /** What a package does for the leader, as long as a leader's claim holds. */
-export interface Leading {
+export interface LeaderTerm {
   /** The fencing token. */
   token: number;
   /** The leader's claim: what is written on condition of it is written by the leader. */
@@ -154,20 +154,20 @@
   stop?(): void;
   /** Requests beside the protocol's paths; null for paths that are not its own. */
   find?: Router["find"];
-  rules?: PlacingRules;
-  matching?: Matching;
-  lead?(leading: Leading): { stop(): void };
+  policy?: PlacementPolicy;
+  matcher?: JobMatcher;
+  lead?(leading: LeaderTerm): { stop(): void };
   /** Why a submission that needs the package cannot be taken now, or null. */
-  refuses?(spec: JobSpec): string | null;
+  refusalReason?(spec: JobSpec): string | null;
   /** Whether the header of a job that is over has to stay where it is for now. */
-  wants?(id: string): boolean;
+  needsHeader?(id: string): boolean;
   /** A frame of another controller, and that its connection was closed from there. */
-  hears?(from: string, frame: Frame): void;
-  closed?(from: string): void;
+  onFrame?(from: string, frame: Frame): void;
+  onPeerClosed?(from: string): void;
   /** A machine of another's part came here with a report, under the highest token it has seen. */
-  strayed?(part: number, machine: string, token: number, mark: Mark): void;
+  onMisroutedReport?(part: number, machine: string, token: number, mark: ReportPosition): void;
   /** Whether there is doubt that another controller serves: nothing new is given to it. */
-  doubts?(name: string): boolean;
+  isSuspected?(name: string): boolean;
   /** For `/about/status`. */
   status?(): object;
   /** Figures in the text format of `/metrics`, beside the core's. */
@@ -194,9 +194,9 @@
  * The controllers that serve without a package, by name: they would not do for its jobs what it
  * promises. While there is one, such jobs are not taken.
  */
-export const without = (name: string, core: Core): string[] =>
+export const controllersWithoutPackage = (name: string, core: Core): string[] =>
   serving(core).flatMap(([node, speaks]) => (speaks.includes(name) ? [] : [node]));
 
 /** Whether some controller has a package. */
-export const spoken = (name: string, core: Core): boolean =>
+export const isPackagePresent = (name: string, core: Core): boolean =>
   serving(core).some(([, speaks]) => speaks.includes(name));
--- a/src/fair/timely.ts
+++ b/src/fair/on-time-jobs.ts
@@ -1,5 +1,5 @@
 /** A job as far as it matters for whether it can be in time. */
-export interface Due {
+export interface DueJob {
   id: string;
   rank: number;
   /** Seconds from now until it should be complete. */
@@ -25,13 +25,13 @@
  * Hodgson). Going by due times alone, one huge job that cannot make it makes all after it late.
  * Higher priorities come first; one of theirs that is given up comes after lower ones in time.
  */
-export function timely(jobs: readonly Due[], cpus: number): Set<string> {
+export function selectOnTimeJobs(jobs: readonly DueJob[], cpus: number): Set<string> {
   const kept = new Set<string>();
   const ranks = [...new Set(jobs.map(({ rank }) => rank))].sort((a, b) => b - a);
   let before = 0;
   for (const rank of ranks) {
     const mine = jobs.filter((job) => job.rank === rank).sort((a, b) => a.leftS - b.leftS);
-    const chosen: Due[] = [];
+    const chosen: DueJob[] = [];
     let sum = before;
     for (const job of mine) {
       if (tooLate(job.leftS, job.taskS)) continue;
--- a/src/fair/share.ts
+++ b/src/fair/share.ts
@@ -4,16 +4,16 @@
   gpus: number;
 }
 
-export const add = (a: Amounts, b: Amounts): Amounts => ({
+export const addAmounts = (a: Amounts, b: Amounts): Amounts => ({
   cpus: a.cpus + b.cpus,
   gpus: a.gpus + b.gpus,
 });
-export const minus = (a: Amounts, b: Amounts): Amounts => ({
+export const subtractAmounts = (a: Amounts, b: Amounts): Amounts => ({
   cpus: a.cpus - b.cpus,
   gpus: a.gpus - b.gpus,
 });
 export const EPSILON = 1e-6;
-export const within = (a: Amounts, limit: Amounts): boolean =>
+export const fitsWithin = (a: Amounts, limit: Amounts): boolean =>
   a.cpus <= limit.cpus + EPSILON && a.gpus <= limit.gpus + EPSILON;
 
 /** A team, or a group of teams and groups. The root has no parent and stands for everything. */
@@ -31,7 +31,7 @@
 const NOTHING: Amounts = { cpus: 0, gpus: 0 };
 
 /** The tree of teams with their use. Use is counted at every level from a team to the root. */
-export class Tree {
+export class ShareTree {
   readonly #groups = new Map<string, Group>();
   readonly #paths = new Map<string, string[]>();
   readonly #use = new Map<string, Amounts>();
@@ -89,14 +89,14 @@
     if (own.parent === null) return 0;
     const parent = this.#groups.get(own.parent)!;
     const pool = parent.lending ?? parent.nominal;
-    const over = minus(add(this.use(group), extra), own.nominal);
+    const over = subtractAmounts(addAmounts(this.use(group), extra), own.nominal);
     const ratio = (above: number, of: number): number =>
       above <= EPSILON ? 0 : of > 0 ? above / of : Number.POSITIVE_INFINITY;
     return Math.max(ratio(over.cpus, pool.cpus), ratio(over.gpus, pool.gpus)) / own.weight;
   }
 
   /** How much of its guarantee a team uses, by the resource it uses most of. */
-  filled(team: string): number {
+  guaranteeUse(team: string): number {
     // A team that this controller does not know may have jobs: another controller took them.
     const nominal = this.#groups.get(team)?.nominal ?? NOTHING;
     const use = this.use(team);
--- a/src/fair/preempt.ts
+++ b/src/fair/victim-selection.ts
@@ -1,4 +1,4 @@
-import { type Amounts, compareShares, EPSILON, type Tree } from "./share.js";
+import { type Amounts, compareShares, EPSILON, type ShareTree } from "./share.js";
 
 /** Something that may be stopped: one task of an array, or all that must stop together. */
 export interface Victim {
@@ -15,35 +15,35 @@
    */
   lent?: boolean;
   /** Stands behind the asker whatever the shares: what it is worth, the least is stopped first. */
-  yields?: number;
+  preemptionValue?: number;
 }
 
-export interface Asker {
+export interface Preemptor {
   team: string;
   rank: number;
   size: Amounts;
   /** It fits into its team's guarantee: priorities and guarantees then work without delay. */
-  entitled: boolean;
+  withinGuarantee: boolean;
   /** Its team has no guarantee: it borrows what is idle, and has no other team's task stopped. */
   borrower?: boolean;
   /**
    * Otherwise one victim may lose this much work at most, in the unit of its `loss`, and
-   * `evenPatience` where shares are evened out (S2). KEP-1714 asks for a minimum run time and a
+   * `maxFairLoss` where shares are evened out (S2). KEP-1714 asks for a minimum run time and a
    * delay against churn ("Risks and Mitigations"); this is both in one.
    */
-  patience: number;
-  evenPatience: number;
+  maxLoss: number;
+  maxFairLoss: number;
 }
 
-export type Reason = "priority" | "reclaim" | "lent" | "fair" | "greedy" | "yield";
+export type PreemptionReason = "priority" | "reclaim" | "lent" | "fair" | "greedy" | "yield";
 
-export interface Pick {
+export interface SelectedVictim {
   victim: Victim;
-  reason: Reason;
+  reason: PreemptionReason;
 }
 
 /** The groups to compare, when the victim's team borrows on all of its way up to them. */
-function blamed(tree: Tree, asker: string, victim: string): { x: string; y: string } | null {
+function blamed(tree: ShareTree, asker: string, victim: string): { x: string; y: string } | null {
   const groups = tree.siblings(asker, victim);
   if (groups === null) return null;
   // Someone who uses only what is guaranteed, anywhere on the way up, is not to blame.
@@ -58,9 +58,13 @@
  * Why `victim` may be stopped for `asker`, or null. `reclaim` is S1 of KEP-1714, `fair` S2-a and
  * `greedy` S2-b; `priority` is what PROTOCOL allows inside a team.
  */
-export function mayStop(tree: Tree, asker: Asker, victim: Victim): Reason | null {
-  if (victim.yields !== undefined) return "yield";
-  const affordable = asker.entitled || victim.loss <= asker.patience;
+export function preemptionReason(
+  tree: ShareTree,
+  asker: Preemptor,
+  victim: Victim,
+): PreemptionReason | null {
+  if (victim.preemptionValue !== undefined) return "yield";
+  const affordable = asker.withinGuarantee || victim.loss <= asker.maxLoss;
   if (victim.team === asker.team) {
     return affordable && victim.rank < asker.rank ? "priority" : null;
   }
@@ -68,8 +72,8 @@
   const groups = blamed(tree, asker.team, victim.team);
   if (groups === null) return null;
   if (!tree.borrows(groups.x, asker.size)) return affordable ? "reclaim" : null;
-  const late = victim.loss > asker.evenPatience;
-  if (late && (victim.lent !== true || asker.patience < 0)) return null;
+  const late = victim.loss > asker.maxFairLoss;
+  if (late && (victim.lent !== true || asker.maxLoss < 0)) return null;
   const mine = tree.share(groups.x, asker.size);
   const without = tree.share(groups.y, {
     cpus: -victim.size.cpus,
@@ -82,12 +86,17 @@
 }
 
 /** Whether any task of another team can be stopped for `asker` at all: a quick look before others. */
-export function mayConcern(tree: Tree, asker: Asker, team: string, lent: boolean): boolean {
+export function canPreemptFrom(
+  tree: ShareTree,
+  asker: Preemptor,
+  team: string,
+  lent: boolean,
+): boolean {
   if (asker.borrower === true) return false;
   const groups = blamed(tree, asker.team, team);
   if (groups === null) return false;
-  if (!tree.borrows(groups.x, asker.size) || asker.evenPatience >= 0) return true;
-  return lent && asker.patience >= 0;
+  if (!tree.borrows(groups.x, asker.size) || asker.maxFairLoss >= 0) return true;
+  return lent && asker.maxLoss >= 0;
 }
 
 /**
@@ -96,20 +105,20 @@
  * turn out not to be needed are put back.
  */
 export function chooseVictims(
-  tree: Tree,
-  asker: Asker,
+  tree: ShareTree,
+  asker: Preemptor,
   victims: readonly Victim[],
   fits: (stopped: ReadonlySet<string>) => boolean,
   most: number,
-): Pick[] {
-  const picked: Pick[] = [];
+): SelectedVictim[] {
+  const picked: SelectedVictim[] = [];
   const stopped = new Set<string>();
   const left = new Set(victims);
   while (!fits(stopped) && picked.length < most) {
-    let best: Pick | null = null;
+    let best: SelectedVictim | null = null;
     let bestShares: number[] = [];
     for (const victim of left) {
-      const reason = mayStop(tree, asker, victim);
+      const reason = preemptionReason(tree, asker, victim);
       if (reason === null) continue;
       const shares = tree.shares(victim.team);
       if (best === null || before(victim, reason, shares, best, bestShares)) {
@@ -124,7 +133,7 @@
     picked.push(best);
   }
   const enough = fits(stopped);
-  const kept: Pick[] = [];
+  const kept: SelectedVictim[] = [];
   for (const pick of picked) {
     // Put back what frees nothing that is needed.
     stopped.delete(pick.victim.id);
@@ -139,9 +148,9 @@
 
 function before(
   victim: Victim,
-  reason: Reason,
+  reason: PreemptionReason,
   shares: number[],
-  best: Pick,
+  best: SelectedVictim,
   bestShares: number[],
 ): boolean {
   if ((reason === "greedy") !== (best.reason === "greedy")) return best.reason === "greedy";
@@ -150,7 +159,8 @@
   // What is lent, and costs no more than a save, goes before what others lose: by shares alone, a
   // team with little weight lost tasks that do not save while guests' tasks ran on.
   if ((victim.lent === true) !== (other.lent === true)) return victim.lent === true;
-  if (victim.yields !== other.yields) return (victim.yields ?? 0) < (other.yields ?? 0);
+  if (victim.preemptionValue !== other.preemptionValue)
+    return (victim.preemptionValue ?? 0) < (other.preemptionValue ?? 0);
   const byShare = compareShares(shares, bestShares);
   if (byShare !== 0) return byShare > 0;
   if (victim.rank !== other.rank) return victim.rank < other.rank;
--- a/src/image/check.ts
+++ b/src/image/check.ts
@@ -1,9 +1,9 @@
 import { CorruptLeaf, decodeLeaf, LAST, lastOf } from "../archive/index.js";
 import type { ChunkState } from "../jobs/chunk.js";
-import { FINISHED, type Header, headerFault, partChar } from "../jobs/header.js";
-import { readPage } from "../jobs/page.js";
+import { readPage } from "../jobs/chunk-page.js";
+import { FINISHED, headerError, type JobHeader, partChar } from "../jobs/job-header.js";
 import { isSliceRecord } from "../quota/slices.js";
-import { HEADERS, keys } from "../state/keys.js";
+import { JOB_HEADER_PREFIX, keys } from "../state/keys.js";
 import { ARCHIVE_SCHEMA, KNOWN_SCHEMA } from "../state/schema.js";
 import { isJobId } from "../wire/jobs.js";
 import type { Image } from "./collect.js";
@@ -32,18 +32,18 @@
   const find = (key: string, problem: string): void => {
     findings.push({ key, problem });
   };
-  const headers = new Map<string, Header>();
+  const headers = new Map<string, JobHeader>();
   const sorted = [...image.rows.keys()].sort();
   for (const key of sorted) {
     const { value, version } = image.rows.get(key)!;
     if (version > image.revision) {
       find(key, `its stamp ${version} is beyond the revision ${image.revision}`);
     }
-    if (!key.startsWith(HEADERS)) continue;
-    const id = key.slice(HEADERS.length);
-    const problem = !isJobId(id) ? "not a job's id" : headerFault(value);
+    if (!key.startsWith(JOB_HEADER_PREFIX)) continue;
+    const id = key.slice(JOB_HEADER_PREFIX.length);
+    const problem = !isJobId(id) ? "not a job's id" : headerError(value);
     if (problem !== null) find(key, problem);
-    else headers.set(id, value as Header);
+    else headers.set(id, value as JobHeader);
   }
   checkRecords(image, sorted, headers, find);
   checkArchive(image, sorted, headers, find);
@@ -58,7 +58,7 @@
 function checkRecords(
   image: Image,
   sorted: readonly string[],
-  headers: ReadonlyMap<string, Header>,
+  headers: ReadonlyMap<string, JobHeader>,
   find: Find,
 ): void {
   const pattern = /^c\/(\d+)\/(p|m)\/(.+)$/;
@@ -105,7 +105,7 @@
 
 /** What is wrong with a chunk's state in a record of a part, or null. */
 export function chunkFault(
-  headers: ReadonlyMap<string, Header>,
+  headers: ReadonlyMap<string, JobHeader>,
   part: number,
   name: string,
   state: ChunkState,
@@ -122,7 +122,7 @@
   return chunkProblems(header, index, state)[0] ?? null;
 }
 
-function chunkProblems(header: Header, index: number, state: ChunkState): string[] {
+function chunkProblems(header: JobHeader, index: number, state: ChunkState): string[] {
   const problems: string[] = [];
   const size = Math.min(header.chunkSize, header.tasks - index * header.chunkSize);
   const done = new Set<number>();
@@ -149,7 +149,7 @@
 function checkArchive(
   image: Image,
   sorted: readonly string[],
-  headers: ReadonlyMap<string, Header>,
+  headers: ReadonlyMap<string, JobHeader>,
   find: Find,
 ): void {
   const leaves = sorted.filter((key) => key.startsWith(keys.archive));
--- a/src/image/export.ts
+++ b/src/image/export.ts
@@ -1,11 +1,11 @@
-import type { Past } from "../jobs/past.js";
+import type { JobOutcome } from "../jobs/job-outcome.js";
 import type { Image } from "./collect.js";
 import { finished } from "./show.js";
 
 /** How many rows a group of the file has: what is in memory at a time, here and where it is read. */
 const GROUP = 50_000;
 
-type Batch = (readonly [id: string, past: Past])[];
+type Batch = (readonly [id: string, past: JobOutcome])[];
 
 const moment = (ms: number | null): Date | null => (ms === null ? null : new Date(ms));
 
--- a/src/image/mend.ts
+++ b/src/image/mend.ts
@@ -1,8 +1,8 @@
 import type { ChunkState } from "../jobs/chunk.js";
-import { type Header, isHeader } from "../jobs/header.js";
-import { encodePage, readPage } from "../jobs/page.js";
+import { encodePage, readPage } from "../jobs/chunk-page.js";
+import { isHeader, type JobHeader } from "../jobs/job-header.js";
 import type { SliceRecord } from "../quota/slices.js";
-import { HEADERS, keys } from "../state/keys.js";
+import { JOB_HEADER_PREFIX, keys } from "../state/keys.js";
 import { type CheckOptions, checkImage, chunkFault, type Finding } from "./check.js";
 import type { Image } from "./collect.js";
 
@@ -58,10 +58,11 @@
 
 type Say = (key: string, problem: string) => void;
 
-function headersOf(rows: Image["rows"]): Map<string, Header> {
-  const headers = new Map<string, Header>();
+function headersOf(rows: Image["rows"]): Map<string, JobHeader> {
+  const headers = new Map<string, JobHeader>();
   for (const [key, { value }] of rows) {
-    if (key.startsWith(HEADERS) && isHeader(value)) headers.set(key.slice(HEADERS.length), value);
+    if (key.startsWith(JOB_HEADER_PREFIX) && isHeader(value))
+      headers.set(key.slice(JOB_HEADER_PREFIX.length), value);
   }
   return headers;
 }
@@ -112,7 +113,7 @@
 function mendSlices(
   image: Image,
   rows: Image["rows"],
-  headers: ReadonlyMap<string, Header>,
+  headers: ReadonlyMap<string, JobHeader>,
   options: CheckOptions,
   say: Say,
 ): void {
--- a/src/image/newest.ts
+++ b/src/image/newest.ts
@@ -1,5 +1,5 @@
 import type { ChunkState } from "../jobs/chunk.js";
-import { encodePage, readPage } from "../jobs/page.js";
+import { encodePage, readPage } from "../jobs/chunk-page.js";
 import type { Image } from "./collect.js";
 
 interface Place {
--- a/src/image/restore.ts
+++ b/src/image/restore.ts
@@ -1,8 +1,8 @@
 import { isDeepStrictEqual } from "node:util";
 import { type Clock, sleep } from "../clock.js";
-import { sizeOf } from "../jobs/page.js";
+import { jsonBytes } from "../jobs/chunk-page.js";
 import { keys } from "../state/keys.js";
-import { parseRestored, type RestoredRecord } from "../state/restored.js";
+import { parseRestoreRecord, type RestoreRecord } from "../state/restore-state.js";
 import type { Change, Condition, Page, Store } from "../state/store.js";
 import { checkImage, type Finding } from "./check.js";
 import { type Image, PREFIXES } from "./collect.js";
@@ -52,7 +52,7 @@
  * twice that and an hour more, for a time of day that is off and for leases that ended.
  */
 export function tokensAbove(image: Image, wall: number, writeRps: number): number {
-  const before = parseRestored(image.rows.get(keys.restored)?.value)?.tokens ?? 0;
+  const before = parseRestoreRecord(image.rows.get(keys.restored)?.value)?.tokens ?? 0;
   const elapsedS = (wall - image.takenAt) / 1000 + 3600;
   return before + image.revision + Math.ceil(2 * writeRps * elapsedS);
 }
@@ -89,13 +89,13 @@
   }
   const again = <T>(run: () => Promise<T>): Promise<T> => patiently(clock, run);
   const { revision, takenAt } = image;
-  const fresh: RestoredRecord = {
+  const fresh: RestoreRecord = {
     state: "filling",
     image: { revision, takenAt },
     tokens: tokensAbove(image, wall, writeRps),
   };
   const begun = await again(() => store.get(keys.restored));
-  let record = parseRestored(begun?.value);
+  let record = parseRestoreRecord(begun?.value);
   if (begun === null) {
     for (const prefix of PREFIXES) {
       const { rows } = await again(() => store.page(prefix, null, 1));
@@ -107,7 +107,7 @@
     const condition = absent.map((key) => ({ key, version: 0 }));
     await again(() => store.transact(condition, [{ put: keys.restored, value: fresh }]));
     // Whoever was first: that is the one.
-    record = parseRestored((await again(() => store.get(keys.restored)))?.value);
+    record = parseRestoreRecord((await again(() => store.get(keys.restored)))?.value);
   }
   if (record === null) throw new RestoreRefused("a controller is up: stop all of them first");
   if (!isDeepStrictEqual(record.image, fresh.image)) {
@@ -128,9 +128,9 @@
     progress?.(from, rows.length);
   }
   await verify(store, rows, again);
-  const done: RestoredRecord = { ...record, state: "settling" };
+  const done: RestoreRecord = { ...record, state: "settling" };
   const result = await again(() => store.transact([guard], [{ put: keys.restored, value: done }]));
-  const now = parseRestored((await again(() => store.get(keys.restored)))?.value);
+  const now = parseRestoreRecord((await again(() => store.get(keys.restored)))?.value);
   if (!result.ok && now?.state !== "settling") {
     throw new RestoreRefused("somebody else has changed what was being restored");
   }
@@ -143,7 +143,7 @@
   let count = 0;
   while (from + count < rows.length && count < limits.ops) {
     const [key, value] = rows[from + count]!;
-    bytes += 2 * key.length + 100 + sizeOf(value);
+    bytes += 2 * key.length + 100 + jsonBytes(value);
     if (count > 0 && bytes > limits.txnBytes) break;
     count++;
   }
--- a/src/image/show.ts
+++ b/src/image/show.ts
@@ -1,8 +1,8 @@
 import { decodeLeaf } from "../archive/index.js";
-import { isHeader } from "../jobs/header.js";
-import { decodePage, isPage } from "../jobs/page.js";
-import { type Past, pastOf } from "../jobs/past.js";
-import { HEADERS, keys } from "../state/keys.js";
+import { decodePage, isPage } from "../jobs/chunk-page.js";
+import { isHeader } from "../jobs/job-header.js";
+import { type JobOutcome, outcomeOf } from "../jobs/job-outcome.js";
+import { JOB_HEADER_PREFIX, keys } from "../state/keys.js";
 import type { Image } from "./collect.js";
 
 export interface Overview {
@@ -26,12 +26,12 @@
   let leaves = 0;
   let gone = 0;
   for (const [key, { value, version }] of image.rows) {
-    if (key.startsWith(HEADERS)) {
+    if (key.startsWith(JOB_HEADER_PREFIX)) {
       if (isHeader(value)) jobs[value.status]++;
     } else if (key.startsWith(keys.archive)) {
       leaves++;
       jobs.archived += entriesOf(key, value, version).length;
-    } else if (key.startsWith(keys.gone("")) && Array.isArray(value)) gone += value.length;
+    } else if (key.startsWith(keys.goneMachines("")) && Array.isArray(value)) gone += value.length;
     else if (key.startsWith("c/") && isPage(value)) {
       const part = key.split("/")[1]!;
       parts[part] ??= { chunks: 0, placed: 0 };
@@ -54,7 +54,11 @@
   };
 }
 
-function entriesOf(key: string, value: unknown, version: number): (readonly [string, Past])[] {
+function entriesOf(
+  key: string,
+  value: unknown,
+  version: number,
+): (readonly [string, JobOutcome])[] {
   try {
     return decodeLeaf({ key, value, version }).entries;
   } catch {
@@ -63,14 +67,14 @@
 }
 
 /** Every job of an image that is over, with its final state, in order of ids. */
-export function* finished(image: Image): Generator<readonly [id: string, past: Past]> {
+export function* finished(image: Image): Generator<readonly [id: string, past: JobOutcome]> {
   const leaves: string[] = [];
-  const recent: (readonly [id: string, past: Past])[] = [];
+  const recent: (readonly [id: string, past: JobOutcome])[] = [];
   for (const [key, { value }] of image.rows) {
     if (key.startsWith(keys.archive)) leaves.push(key);
-    else if (key.startsWith(HEADERS) && isHeader(value)) {
-      const past = pastOf(value);
-      if (past !== null) recent.push([key.slice(HEADERS.length), past]);
+    else if (key.startsWith(JOB_HEADER_PREFIX) && isHeader(value)) {
+      const past = outcomeOf(value);
+      if (past !== null) recent.push([key.slice(JOB_HEADER_PREFIX.length), past]);
     }
   }
   recent.sort(([a], [b]) => (a < b ? -1 : 1));
--- a/src/jobs/page.ts
+++ b/src/jobs/chunk-page.ts
@@ -63,11 +63,11 @@
 }
 
 /** How large a page may be: two, and what goes with them, fit a transaction. */
-export const pageBytes = (limits: { valueBytes: number; txnBytes: number }): number =>
+export const maxPageBytes = (limits: { valueBytes: number; txnBytes: number }): number =>
   Math.min(limits.valueBytes, limits.txnBytes / 3);
 
 /** What the state service counts for a value. */
-export const sizeOf = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
+export const jsonBytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
 
 export const isPage = (value: unknown): value is PageRecord =>
   typeof value === "object" && value !== null && "m" in value && "c" in value;
--- a/src/jobs/chunk.ts
+++ b/src/jobs/chunk.ts
@@ -10,7 +10,7 @@
   live: { index: number; attempt: number; machine: string }[];
 }
 
-export interface Live {
+export interface Allocation {
   readonly chunk: Chunk;
   readonly task: string;
   readonly index: number;
@@ -21,28 +21,28 @@
   /** When this owner placed it, or loaded it. */
   readonly since: number;
   /** The report in whose answer the start was last sent. */
-  told: { session: number; seq: number } | null;
+  startSentIn: { session: number; seq: number } | null;
   /** When a report first listed it. */
-  seenAt: number | null;
+  firstReportedAt: number | null;
   running: boolean;
   /** Why it is being stopped, with the time given to save. */
-  stop: { graceS: number; reason: string; askedAt: number } | null;
+  stopRequest: { graceS: number; reason: string; askedAt: number } | null;
 }
 
 export class Chunk {
   attempts = 0;
   readonly done: Uint8Array;
   doneCount = 0;
-  readonly live = new Map<number, Live>();
+  readonly allocations = new Map<number, Allocation>();
   /** The page of the store that holds it; null while there is nothing to keep. */
   page: number | null = null;
   /** Further pages with a part each of what is live, where it is too much for one. */
-  more: readonly number[] = [];
+  extraPages: readonly number[] = [];
   /** Version of what it brought along from another part, until that is in a page; else 0. */
-  handover = 0;
-  /** Counts changes in memory; `saved` is the last one known to be in the store. */
+  handoverVersion = 0;
+  /** Counts changes in memory; `savedVersion` is the last one known to be in the store. */
   version = 0;
-  saved = 0;
+  savedVersion = 0;
   /** Tasks before this one are all placed or done. */
   cursor = 0;
   /** The part that it is being handed to; nothing of it is placed meanwhile. */
@@ -52,7 +52,7 @@
     readonly job: string,
     readonly spec: JobSpec,
     readonly index: number,
-    readonly first: number,
+    readonly firstTask: number,
     readonly size: number,
     /** When this owner got it. */
     readonly since: number,
@@ -61,7 +61,7 @@
   }
 
   get pending(): number {
-    return this.size - this.doneCount - this.live.size;
+    return this.size - this.doneCount - this.allocations.size;
   }
 
   get complete(): boolean {
@@ -71,7 +71,7 @@
   /** The next task that is neither done nor placed, relative to the chunk. */
   nextPending(): number | null {
     for (let i = this.cursor; i < this.size; i++) {
-      if (this.done[i] === 0 && !this.live.has(i)) {
+      if (this.done[i] === 0 && !this.allocations.has(i)) {
         this.cursor = i;
         return i;
       }
@@ -79,31 +79,31 @@
     return null;
   }
 
-  place(index: number, machine: string, now: number): Live {
+  place(index: number, machine: string, now: number): Allocation {
     this.version++;
     this.attempts++;
-    const live: Live = {
+    const live: Allocation = {
       chunk: this,
-      task: `${this.job}/${this.first + index}`,
+      task: `${this.job}/${this.firstTask + index}`,
       index,
       attempt: this.attempts,
       machine,
       version: this.version,
       since: now,
-      told: null,
-      seenAt: null,
+      startSentIn: null,
+      firstReportedAt: null,
       running: false,
-      stop: null,
+      stopRequest: null,
     };
-    this.live.set(index, live);
+    this.allocations.set(index, live);
     return live;
   }
 
   /** The task is proved gone from its machine, with or without having completed. */
-  release(live: Live, completed: boolean): void {
-    if (this.live.get(live.index) !== live) return;
+  release(live: Allocation, completed: boolean): void {
+    if (this.allocations.get(live.index) !== live) return;
     this.version++;
-    this.live.delete(live.index);
+    this.allocations.delete(live.index);
     if (completed) {
       this.done[live.index] = 1;
       this.doneCount++;
@@ -113,8 +113,8 @@
   }
 
   /** A task that was not placed is known to have completed: its worker still tells so. */
-  prove(index: number): boolean {
-    if (index < 0 || index >= this.size || this.done[index] !== 0 || this.live.has(index)) {
+  markDone(index: number): boolean {
+    if (index < 0 || index >= this.size || this.done[index] !== 0 || this.allocations.has(index)) {
       return false;
     }
     this.version++;
@@ -124,7 +124,7 @@
   }
 
   get state(): ChunkState {
-    const live = [...this.live.values()].map(({ index, attempt, machine }) => ({
+    const live = [...this.allocations.values()].map(({ index, attempt, machine }) => ({
       index,
       attempt,
       machine,
@@ -142,18 +142,18 @@
       }
     }
     for (const { index, attempt, machine } of state.live) {
-      this.live.set(index, {
+      this.allocations.set(index, {
         chunk: this,
-        task: `${this.job}/${this.first + index}`,
+        task: `${this.job}/${this.firstTask + index}`,
         index,
         attempt,
         machine,
         version: 0,
         since: now,
-        told: null,
-        seenAt: null,
+        startSentIn: null,
+        firstReportedAt: null,
         running: false,
-        stop: null,
+        stopRequest: null,
       });
     }
   }
--- a/src/jobs/due.ts
+++ b/src/jobs/due-time.ts
@@ -30,7 +30,7 @@
  * said. In a backlog an early aim serves a later one too: whoever is given up for it would have
  * made everyone behind it late.
  */
-export function dueOf(
+export function dueTime(
   spec: JobSpec,
   at: number,
   targets: Targets,
--- a/src/jobs/header.ts
+++ b/src/jobs/job-header.ts
@@ -5,7 +5,7 @@
  * (base 36), or `x` when all its tasks have completed. Any controller may change a header, always
  * on condition of the version it has read; so the first of `done` and `cancelled` wins.
  */
-export interface Header {
+export interface JobHeader {
   status: "open" | "done" | "cancelled";
   /** Absent once the job is over. */
   spec?: JobSpec;
@@ -24,7 +24,7 @@
 
 export const FINISHED = "x";
 /** In place of a part that has nothing more to do with a chunk of a cancelled job. */
-export const GONE = "-";
+export const RELEASED = "-";
 export const partChar = (part: number): string => part.toString(36);
 
 export function withOwner(owners: string, chunk: number, owner: string): string {
@@ -34,39 +34,39 @@
 export const allFinished = (owners: string): boolean => /^x*$/.test(owners);
 
 /** How many chunks are not finished. */
-export function chunksLeft(owners: string): number {
+export function unfinishedChunks(owners: string): number {
   let left = 0;
   for (const owner of owners) if (owner !== FINISHED) left++;
   return left;
 }
 
-export function doneHeader(header: Header, wall: number): Header {
+export function doneHeader(header: JobHeader, wall: number): JobHeader {
   const { spec, ...rest } = header;
   const team = spec === undefined ? {} : { team: spec.team };
   return { ...rest, ...team, status: "done", owners: "", over: Math.round(wall) };
 }
 
 /** A cancelled job keeps its owners: they still have tasks to stop and records to delete. */
-export const cancelledHeader = (header: Header, wall: number): Header => ({
+export const cancelledHeader = (header: JobHeader, wall: number): JobHeader => ({
   ...header,
   status: "cancelled",
   over: Math.round(wall),
 });
 
 /** A cancelled job of which a part has nothing left; once no part has, nothing is run by its spec. */
-export function tidied(header: Header, part: number): Header {
-  const owners = header.owners.replaceAll(partChar(part), GONE);
-  if (!isTidy({ ...header, owners })) return { ...header, owners };
+export function withPartReleased(header: JobHeader, part: number): JobHeader {
+  const owners = header.owners.replaceAll(partChar(part), RELEASED);
+  if (!isFullyReleased({ ...header, owners })) return { ...header, owners };
   const { spec, ...rest } = header;
   return { ...rest, owners, ...(spec === undefined ? {} : { team: spec.team }) };
 }
 
 /** Whether a job is over and no part has anything of it any more. */
-export const isTidy = ({ status, owners }: Header): boolean =>
+export const isFullyReleased = ({ status, owners }: JobHeader): boolean =>
   status !== "open" && /^[x-]*$/.test(owners);
 
 /** Tasks in the chunks that are finished. */
-export function finishedTasks({ status, owners, chunkSize, tasks }: Header): number {
+export function finishedTasks({ status, owners, chunkSize, tasks }: JobHeader): number {
   if (status === "done") return tasks;
   let done = 0;
   for (let i = 0; i < owners.length; i++) {
@@ -75,21 +75,21 @@
   return done;
 }
 
-export function shownStatus(header: Header): JobStatus {
+export function shownStatus(header: JobHeader): JobStatus {
   if (header.status !== "open") return header.status;
   return header.started ? "running" : "pending";
 }
 
 /** Whether all tasks have to be in one part: gangs, and rules about all tasks of a job. */
-export const undivided = (spec: JobSpec): boolean =>
+export const requiresSinglePart = (spec: JobSpec): boolean =>
   spec.kind === "gang" || spec.oneZone || spec.spread || (spec.match?.atOnce ?? null) !== null;
 
-export function isHeader(value: unknown): value is Header {
+export function isHeader(value: unknown): value is JobHeader {
   return typeof value === "object" && value !== null && "status" in value && "owners" in value;
 }
 
 /** Why a value cannot be a header, or null; `isHeader` only tells it from other records. */
-export function headerFault(value: unknown): string | null {
+export function headerError(value: unknown): string | null {
   if (!isHeader(value)) return "not a header";
   const { status, owners, tasks, chunkSize, spec } = value;
   if (status !== "open" && status !== "done" && status !== "cancelled") return "an unknown status";
@@ -105,7 +105,7 @@
 }
 
 /** How many tasks one chunk holds: few chunks, each of which fits a value of the store. */
-export function chunkSizeFor(tasks: number, parts: number, valueBytes: number): number {
+export function chooseChunkSize(tasks: number, parts: number, valueBytes: number): number {
   // A live task takes up to 32 bytes of its record, which leaves a quarter for the rest.
   const whole = Math.floor((valueBytes * 0.75) / 32);
   // Small values: several tasks share a machine's name, and those that do not fit wait (`Ledger.holds`).
--- a/src/jobs/past.ts
+++ b/src/jobs/job-outcome.ts
@@ -1,7 +1,7 @@
-import { finishedTasks, type Header } from "./header.js";
+import { finishedTasks, type JobHeader } from "./job-header.js";
 
 /** What is kept for good of a job that is over. */
-export interface Past {
+export interface JobOutcome {
   status: "done" | "cancelled";
   tasks: number;
   /** Of them, how many had completed, as far as whole chunks tell. */
@@ -14,7 +14,7 @@
 }
 
 /** @returns null for a job that is not over */
-export function pastOf(header: Header): Past | null {
+export function outcomeOf(header: JobHeader): JobOutcome | null {
   const { status, tasks, at, over, team, spec } = header;
   if (status === "open") return null;
   const done = finishedTasks(header);
--- a/src/local/cloud.ts
+++ b/src/local/cloud.ts
@@ -1,5 +1,5 @@
 import type { Clock, Timer } from "../clock.js";
-import { Budget } from "../state/budget.js";
+import { RateLimiter } from "../state/rate-limiter.js";
 import { isMap } from "../wire/cbor.js";
 import { type Asked, type Given, Service } from "./serve.js";
 
@@ -50,7 +50,7 @@
   most = Number.POSITIVE_INFINITY;
   /** Milliseconds that all machines together were held, by those that are gone. */
   heldMs = 0;
-  readonly #budget: Budget;
+  readonly #budget: RateLimiter;
   readonly #charters = new Map<string, string[]>();
   readonly #history: Snapshot[] = [];
   #numbers = 0;
@@ -67,7 +67,7 @@
     latencyMs?: () => number,
   ) {
     super((asked) => this.#answer(asked), latencyMs);
-    this.#budget = new Budget(limits.rps, 2 * limits.rps, clock);
+    this.#budget = new RateLimiter(limits.rps, 2 * limits.rps, clock);
     const look = (): void => {
       const now = clock.now();
       const hosts = [...this.hosts.values()].map((host) => ({
--- a/src/local/state-server.ts
+++ b/src/local/state-server.ts
@@ -1,5 +1,5 @@
 import { type Clock, sleep } from "../clock.js";
-import { Budget } from "../state/budget.js";
+import { RateLimiter } from "../state/rate-limiter.js";
 import { type Change, type Condition, NoLease } from "../state/store.js";
 import { isMap } from "../wire/cbor.js";
 import { type Asked, type Given, Service } from "./serve.js";
@@ -36,8 +36,8 @@
   };
   /** The share of transactions that are executed and never answered; half of them late. */
   loss = 0;
-  readonly #requests: Budget;
-  readonly #writes: Budget;
+  readonly #requests: RateLimiter;
+  readonly #writes: RateLimiter;
 
   constructor(
     readonly state: StateService,
@@ -47,8 +47,8 @@
     latencyMs?: () => number,
   ) {
     super((asked) => this.#answer(asked), latencyMs);
-    this.#requests = new Budget(limits.rps, limits.rps, clock);
-    this.#writes = new Budget(limits.writeRps, limits.writeRps, clock);
+    this.#requests = new RateLimiter(limits.rps, limits.rps, clock);
+    this.#writes = new RateLimiter(limits.writeRps, limits.writeRps, clock);
   }
 
   async #answer(asked: Asked): Promise<Given | null> {
--- a/src/market/api.ts
+++ b/src/market/api.ts
@@ -1,7 +1,7 @@
 import { randomBytes } from "node:crypto";
 import type { Core } from "../extension/index.js";
 import { type Reply, type Route, type Router, retryLater } from "../http/server.js";
-import { Budget } from "../state/budget.js";
+import { RateLimiter } from "../state/rate-limiter.js";
 import { Refused } from "../state/store.js";
 import { isMap } from "../wire/cbor.js";
 import { Accounts } from "./accounts.js";
@@ -30,7 +30,7 @@
 
 /** Answers guests and operators: bids, accounts, rounds. Any controller answers any of them. */
 export class MarketApi {
-  readonly #rates = new Map<string, Budget>();
+  readonly #rates = new Map<string, RateLimiter>();
   readonly #accounts: Accounts;
   /** By guest: bids on their way to the store. */
   readonly #sent = new Map<string, number>();
@@ -44,7 +44,7 @@
     // Every controller takes its part of what a guest may ask, and at least one at a time.
     const each = settings.bidsAMinute / core.layout.parts;
     for (const { name } of settings.guests) {
-      this.#rates.set(name, new Budget(each / 60, Math.max(1, each / 6), core.clock));
+      this.#rates.set(name, new RateLimiter(each / 60, Math.max(1, each / 6), core.clock));
     }
   }
 
--- a/src/market/book.ts
+++ b/src/market/book.ts
@@ -1,6 +1,6 @@
-import type { Allowance, Core, PlacingRules } from "../extension/index.js";
+import type { Allowance, Core, PlacementPolicy } from "../extension/index.js";
 import type { Amounts } from "../fair/share.js";
-import type { Need } from "../part/summary.js";
+import type { CapacityRequest } from "../part/summary.js";
 import { sizeOf } from "./clearing.js";
 import { compareRatios, MICRO } from "./money.js";
 import { type Bid, type Grant, isBid, isGrant, isRound, keys, type Round } from "./records.js";
@@ -19,7 +19,7 @@
  * each guest may use in each part. Nothing in it is written by anyone but the watch, so every
  * controller has the same once it has seen the same changes.
  */
-export class Book implements PlacingRules {
+export class Book implements PlacementPolicy {
   readonly bids = new Map<string, Versioned<Bid>>();
   readonly grants = new Map<string, Versioned<Grant>>();
   round: Versioned<Round> | null = null;
@@ -80,7 +80,7 @@
     return this.#guests;
   }
 
-  yields(team: string): boolean {
+  preemptible(team: string): boolean {
     return this.#guests.has(team);
   }
 
@@ -103,14 +103,14 @@
       keep.cpus += slot.cpus * slots;
       keep.gpus += slot.gpus * slots;
     }
-    return { start: keep, keep, hold };
+    return { startLimit: keep, softLimit: keep, hardLimit: hold };
   }
 
   /**
    * Idle machines are worth keeping for bids that pay the operator's least price or more, those
    * with grants included: what is sold must not go back before it is used.
    */
-  kept(): number {
+  idleCpusToKeep(): number {
     const now = this.core.clock.wall();
     const worth = worthOf(this.core);
     const byGuest = new Map<string, number>();
@@ -136,14 +136,14 @@
    * Room to be rented for bids, if the operator allows it: what they ask for beyond all that is
    * free now, on machines whose cores cost no more than the bid pays for one.
    */
-  wanted(): Need[] {
+  capacityRequests(): CapacityRequest[] {
     if (!this.settings.rent) return [];
     const worth = worthOf(this.core);
     let free = 0;
     for (const { free: here } of clusterOf(this.core, this.#guests).zones.values()) free += here;
     const now = this.core.clock.wall();
     const left = new Map(this.settings.guests.map(({ name, most }) => [name, most.cpus]));
-    const needs: Need[] = [];
+    const needs: CapacityRequest[] = [];
     for (const [name, { value }] of this.bids) {
       const { guest, slot, count, zone, most, from, until, withdrawn } = value;
       // A machine that has booted when the bid is over would have been rented for nothing.
@@ -163,7 +163,7 @@
   }
 
   /** What the cheapest of a guest's grants in a part pays for a core. */
-  worth(team: string, part: number): number {
+  preemptionValue(team: string, part: number): number {
     let least = Number.POSITIVE_INFINITY;
     for (const id of this.#byPlace.get(`${team}/${part}`) ?? []) {
       const { micro, slot } = this.grants.get(id)!.value;
--- a/src/market/desk.ts
+++ b/src/market/desk.ts
@@ -1,4 +1,4 @@
-import type { Core, Leading } from "../extension/index.js";
+import type { Core, LeaderTerm } from "../extension/index.js";
 import type { Condition } from "../state/store.js";
 import { Accounts } from "./accounts.js";
 import type { Book } from "./book.js";
@@ -12,7 +12,7 @@
     readonly core: Core,
     readonly settings: MarketSettings,
     readonly book: Book,
-    readonly leading: Leading,
+    readonly leading: LeaderTerm,
   ) {
     this.accounts = new Accounts(core);
   }
--- a/src/market/index.ts
+++ b/src/market/index.ts
@@ -3,7 +3,12 @@
  * for them. Switched on by the message `market` in the operators' settings
  * (`deploy/market.textproto`); `docs/market.md` says how it works and why its rules hold.
  */
-import { type Attachment, type Core, type Extension, without } from "../extension/index.js";
+import {
+  type Attachment,
+  type Core,
+  controllersWithoutPackage,
+  type Extension,
+} from "../extension/index.js";
 import type { PackageDoor } from "../settings/door.js";
 import { MarketApi } from "./api.js";
 import { Book } from "./book.js";
@@ -51,12 +56,12 @@
     const api = new MarketApi(core, this.settings, book);
     return {
       find: api.find,
-      rules: book,
+      policy: book,
       lead: (leading) => new MarketLeader(core, this.settings, book, leading),
       // A controller without the market does not know the guests' teams: it would neither start their
       // tasks nor end them.
-      refuses: ({ team }) => {
-        const [stranger] = book.yields(team) ? without(NAME, core) : [];
+      refusalReason: ({ team }) => {
+        const [stranger] = book.preemptible(team) ? controllersWithoutPackage(NAME, core) : [];
         return stranger === undefined ? null : `${stranger} has no market`;
       },
       status: () => ({
--- a/src/market/leader.ts
+++ b/src/market/leader.ts
@@ -1,5 +1,5 @@
 import { sleep } from "../clock.js";
-import type { Core, Leading } from "../extension/index.js";
+import type { Core, LeaderTerm } from "../extension/index.js";
 import { Refused } from "../state/store.js";
 import type { Book } from "./book.js";
 import { Calendar } from "./calendar.js";
@@ -38,7 +38,7 @@
     readonly core: Core,
     readonly settings: MarketSettings,
     readonly book: Book,
-    readonly leading: Leading,
+    readonly leading: LeaderTerm,
   ) {
     this.#desk = new Desk(core, settings, book, leading);
     this.#giving = new Giving(this.#desk);
@@ -58,7 +58,7 @@
 
   async #run(): Promise<void> {
     const { clock, log, mirror } = this.core;
-    await mirror.reached(this.leading.claim.version);
+    await mirror.waitForRevision(this.leading.claim.version);
     while (!this.#stopped) {
       try {
         if (this.leading.valid()) await this.#step();
--- a/src/market/rounds.ts
+++ b/src/market/rounds.ts
@@ -108,7 +108,7 @@
     const { instant } = round.value;
     const { termMs, leastMicro, everyMs } = this.desk.settings;
     // Every bid that is in has come by the watch once the close has.
-    await mirror.reached(round.version);
+    await mirror.waitForRevision(round.version);
     if (wall - instant > everyMs || cluster.mute.length > 0) {
       // Too late to be of use, or an owner that would not end grants: nothing was told to anyone.
       if (!this.desk.mayWrite(1)) return;
--- a/src/membership/handover.ts
+++ b/src/membership/handover.ts
@@ -4,9 +4,9 @@
 import { leaderKey } from "../state/schema.js";
 import { type Change, type Condition, NoLease, type Store } from "../state/store.js";
 import type { Layout } from "./layout.js";
+import { type Candidate, rankOwners, type Vacancy } from "./owner-ranking.js";
 import { type Presence, presenceRecord } from "./presence.js";
-import type { Standings } from "./standing.js";
-import { type Candidate, succession, type Vacancy } from "./succession.js";
+import type { ControllerStability } from "./stability.js";
 
 export interface Claim {
   node: string;
@@ -31,9 +31,9 @@
   readonly store: Store;
   readonly mirror: Mirror;
   readonly log: Log;
-  readonly standings: Standings;
+  readonly stability: ControllerStability;
   readonly owned: ReadonlyMap<number, number>;
-  readonly leaderStamp: number | null;
+  readonly leaderClaimVersion: number | null;
   readonly leaderKey: string;
 }
 
@@ -59,11 +59,11 @@
    * once. False when there is nobody to hand over to.
    */
   async handOver(parts: readonly number[], lead: boolean, why: string): Promise<boolean> {
-    const { layout, owned, leaderStamp, leaderKey: leader } = this.held;
+    const { layout, owned, leaderClaimVersion: leaderStamp, leaderKey: leader } = this.held;
     const others = this.asked.candidates().filter(({ name }) => name !== this.held.node);
     const vacancies: Vacancy[] = parts.map((part) => ({ part, home: layout.home(part) }));
     if (lead) vacancies.push({ part: null, home: null });
-    const ranked = succession(vacancies, others);
+    const ranked = rankOwners(vacancies, others);
     const transfers: Transfer[] = [];
     for (const [part, [to]] of ranked) {
       const version = part === null ? leaderStamp : owned.get(part);
@@ -89,7 +89,7 @@
    * After a verdict: all claims of a controller that does not serve are written for its successors,
    * as many as one transaction holds. They are on different ones, as after the end of its lease.
    */
-  async inherit(
+  async reassign(
     name: string,
     run: string,
     when: readonly Condition[],
@@ -109,7 +109,7 @@
       if (versionOf(keys.claim(part)) !== null) vacancies.push({ part, home: layout.home(part) });
     }
     const candidates = this.asked.candidates().filter((one) => one.name !== name);
-    for (const [part, [to]] of succession(vacancies, candidates)) {
+    for (const [part, [to]] of rankOwners(vacancies, candidates)) {
       const key = part === null ? leader : keys.claim(part);
       if (to === undefined) return false;
       transfers.push({ key, version: versionOf(key)!, to });
@@ -129,7 +129,7 @@
     then: readonly Change[],
     why: string,
   ): Promise<boolean> {
-    const { node, standings, store, mirror, log } = this.held;
+    const { node, stability: standings, store, mirror, log } = this.held;
     const changes: Change[] = [...then];
     const given: { key: string; value: Claim }[] = [];
     for (const { key, to } of transfers) {
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -2,14 +2,14 @@
 import type { Log } from "../log.js";
 import { keys } from "../state/keys.js";
 import type { Mirror } from "../state/mirror.js";
-import { restoredOf } from "../state/restored.js";
+import { restoreStateOf } from "../state/restore-state.js";
 import { leaderKey } from "../state/schema.js";
 import { NoLease, type Store } from "../state/store.js";
 import { type Claim, Handover, isClaim } from "./handover.js";
 import type { Layout } from "./layout.js";
-import { isSaid, type Presence, presenceRecord } from "./presence.js";
-import { Standings } from "./standing.js";
-import { type Candidate, succession, type Vacancy } from "./succession.js";
+import { type Candidate, rankOwners, type Vacancy } from "./owner-ranking.js";
+import { matchesPublished, type Presence, presenceRecord } from "./presence.js";
+import { ControllerStability } from "./stability.js";
 
 export interface Handlers {
   gained(part: number, token: number): void;
@@ -20,12 +20,12 @@
 
 /**
  * Holds this controller's lease at the state service and, attached to it, its claims on parts and
- * on leadership. A claim's version makes the fencing token (`tokenOf`): versions only grow, and no
+ * on leadership. A claim's version makes the fencing token (`fencingTokenOf`): versions only grow, and no
  * two changes of a key share one.
  */
 export class Membership {
   readonly owned = new Map<number, number>();
-  leaderStamp: number | null = null;
+  leaderClaimVersion: number | null = null;
   /** The key of the claim that it is the version of. */
   leaderKey: string = keys.leader;
   readonly ttlMs: number;
@@ -36,7 +36,7 @@
   #beatAt: number;
   #awakeAt = Number.NEGATIVE_INFINITY;
   #freeSince = new Map<string, number>();
-  readonly standings: Standings;
+  readonly stability: ControllerStability;
   /** Gives claims to others: own ones, or after a verdict those of one that does not serve. */
   readonly handover: Handover;
   readonly #offered = new Map<string, number>();
@@ -65,7 +65,7 @@
     this.ttlMs = (leaseS * 1000) / 4;
     this.#startedAt = clock.now();
     this.#beatAt = this.#startedAt;
-    this.standings = new Standings(mirror, clock, this.ttlMs);
+    this.stability = new ControllerStability(mirror, clock, this.ttlMs);
     this.handover = new Handover(this, {
       own: () => this.#own(),
       candidates: () => this.#candidates(),
@@ -90,7 +90,7 @@
   }
 
   /** Called by timers that only the whole process standing still, or very late, delays. */
-  pulse(): void {
+  noteProcessAlive(): void {
     const now = this.clock.now();
     if (now - this.#beatAt > this.ttlMs / 2) {
       this.#awakeAt = now;
@@ -116,7 +116,7 @@
         new Promise((resolve) => {
           this.#wakeClaims = resolve;
           this.clock.after(this.ttlMs / 8, () => {
-            this.pulse();
+            this.noteProcessAlive();
             resolve();
           });
         }),
@@ -131,7 +131,7 @@
    * This controller reaches the state service, but workers or users do not reach it: others
    * should own the parts for a while. Does nothing when there is no one else.
    */
-  async stepBack(parts: number[], forMs: number, why: string): Promise<void> {
+  async relinquish(parts: number[], forMs: number, why: string): Promise<void> {
     if (this.#candidates().every(({ name }) => name === this.node)) return;
     this.#shyUntil = this.clock.now() + forMs;
     await this.#leave(parts, why);
@@ -152,12 +152,12 @@
 
   /** Hands parts, and leadership, to their successors; what nobody can be given is dropped. */
   async #leave(parts: number[], why: string): Promise<void> {
-    const lead = this.leaderStamp !== null;
+    const lead = this.leaderClaimVersion !== null;
     const given = await this.handover.handOver(parts, lead, why).catch(() => false);
     if (given) return;
     // All of it at once, whatever becomes of the claims.
-    if (this.leaderStamp !== null) {
-      this.leaderStamp = null;
+    if (this.leaderClaimVersion !== null) {
+      this.leaderClaimVersion = null;
       this.handlers.deposed();
     }
     for (const part of parts) this.#drop(part, why);
@@ -181,8 +181,8 @@
 
   #dropAll(why: string): void {
     for (const part of [...this.owned.keys()]) this.#drop(part, why);
-    if (this.leaderStamp !== null) {
-      this.leaderStamp = null;
+    if (this.leaderClaimVersion !== null) {
+      this.leaderClaimVersion = null;
       this.handlers.deposed();
     }
   }
@@ -224,7 +224,7 @@
     const own = this.#own();
     if (own === null || !this.mirror.ready) return;
     const key = keys.node(this.node);
-    if (isSaid(this.mirror.rows.get(key)?.value, own)) return;
+    if (matchesPublished(this.mirror.rows.get(key)?.value, own)) return;
     const value = presenceRecord(own);
     const { revision } = await this.store.transact([], [{ put: key, value, lease: own.lease! }]);
     this.mirror.apply({ key, value, version: revision, deleted: false });
@@ -235,7 +235,7 @@
   }
 
   #serving(name: string): boolean {
-    return this.standings.presenceOf(name)?.shy === false && !this.doubted(name);
+    return this.stability.presenceOf(name)?.shy === false && !this.doubted(name);
   }
 
   /** Those who may own something, this controller included, with what they have. */
@@ -260,7 +260,7 @@
     for (let part = 0; part < this.layout.parts; part++) {
       left.push([keys.claim(part), this.owned.has(part)]);
     }
-    left.push([leaderKey(this.mirror), this.leaderStamp !== null]);
+    left.push([leaderKey(this.mirror), this.leaderClaimVersion !== null]);
     for (const [key, held] of left) {
       const row = held ? undefined : this.mirror.rows.get(key);
       if (row === undefined || !this.#mine(row.value)) continue;
@@ -274,7 +274,7 @@
     const now = this.clock.now();
     if (now - this.mirror.freshAsOf > this.ttlMs) return;
     // Records are being put there by a restore: what is missing yet would look as if it had never been.
-    if (restoredOf(this.mirror).state === "filling") return;
+    if (restoreStateOf(this.mirror).state === "filling") return;
     await this.#show();
     await this.#finishRelease();
     const vacancies: Vacancy[] = [];
@@ -284,7 +284,7 @@
       if (this.mirror.rows.has(keys.claim(part))) continue;
       vacancies.push({ part, home: this.layout.home(part) });
     }
-    const ranked = succession(vacancies, this.#candidates());
+    const ranked = rankOwners(vacancies, this.#candidates());
     const patience = (part: number | null): number =>
       this.#patience(part, ranked.get(part) ?? [], now);
     await this.#claimKey(leader, patience(null));
@@ -294,7 +294,7 @@
         // Else, once given up, it would seem to have been free since we took it.
         this.#freeSince.delete(keys.claim(part));
         // Gently: one part at a time, and only to a controller that has been up for a while.
-        if (home === this.node || !this.#serving(home) || !this.standings.stands(home)) continue;
+        if (home === this.node || !this.#serving(home) || !this.stability.isStable(home)) continue;
         if (await this.#goHome(part, home)) return;
       } else await this.#claimKey(keys.claim(part), patience(part));
     }
@@ -303,7 +303,7 @@
   async #goHome(part: number, home: string): Promise<boolean> {
     const version = this.owned.get(part)!;
     const why = `back to ${home}`;
-    if (this.standings.presenceOf(home)?.lease !== null) {
+    if (this.stability.presenceOf(home)?.lease !== null) {
       return this.handover.transfer([{ key: keys.claim(part), version, to: home }], [], [], why);
     }
     // A version that offers no lease: it finds the part free. If it does not want it, it is not
@@ -383,12 +383,16 @@
 
   #leaderChanged(key: string, version: number, value: unknown): void {
     if (this.#mine(value)) {
-      if (this.leaderStamp === version) return;
-      this.leaderStamp = version;
+      if (this.leaderClaimVersion === version) return;
+      this.leaderClaimVersion = version;
       this.leaderKey = key;
       this.handlers.leading(version);
-    } else if (this.leaderStamp !== null && key === this.leaderKey && version > this.leaderStamp) {
-      this.leaderStamp = null;
+    } else if (
+      this.leaderClaimVersion !== null &&
+      key === this.leaderKey &&
+      version > this.leaderClaimVersion
+    ) {
+      this.leaderClaimVersion = null;
       this.handlers.deposed();
     }
   }
--- a/src/membership/succession.ts
+++ b/src/membership/owner-ranking.ts
@@ -23,7 +23,7 @@
  * counted, so the parts of two controllers that end together go to two others. Everybody who has
  * the same keys before him comes to the same answer, and nobody has to wait to see who comes.
  */
-export function succession(
+export function rankOwners(
   vacancies: readonly Vacancy[],
   candidates: readonly Candidate[],
 ): Map<number | null, string[]> {
@@ -58,6 +58,6 @@
  * with every end among the last ones, as flapping routes are damped. One that ends every 20 s
  * would have its part moved twice a time, and be given it again just before the next end.
  */
-export function standMs(ends: number, onceMs: number): number {
+export function requiredStableMs(ends: number, onceMs: number): number {
   return onceMs * 2 ** Math.min(ends, 6);
 }
--- a/src/membership/presence.ts
+++ b/src/membership/presence.ts
@@ -21,14 +21,14 @@
  * What a controller reads beyond what the first version with this record did. 1: of a chunk in
  * several pages the newest record counts, and records of one write are one state in pieces.
  */
-export const READS = 1;
+export const RECORD_FORMAT = 1;
 
 /** Whether all controllers that are there read records as this one does. One that is not is nobody's. */
-export function allRead(mirror: Mirror): boolean {
+export function allReadCurrentFormat(mirror: Mirror): boolean {
   for (const [key, { value }] of mirror.rows) {
     if (!key.startsWith(keys.node(""))) continue;
     const { reads } = (value ?? {}) as { reads?: unknown };
-    if (typeof reads !== "number" || reads < READS) return false;
+    if (typeof reads !== "number" || reads < RECORD_FORMAT) return false;
   }
   return true;
 }
@@ -45,7 +45,7 @@
   run,
   shy,
   schema: KNOWN_SCHEMA,
-  reads: READS,
+  reads: RECORD_FORMAT,
   ...(lease === null ? {} : { lease }),
   ...(speaks.length === 0 ? {} : { speaks }),
 });
@@ -55,7 +55,7 @@
  * applied after a later one: of this run, or of the one before, and that one goes with its lease.
  * Then nobody gave it a part any more.
  */
-export function isSaid(value: unknown, { run, lease, shy }: Presence): boolean {
+export function matchesPublished(value: unknown, { run, lease, shy }: Presence): boolean {
   const seen = parsePresence(value);
   return seen !== null && seen.run === run && seen.lease === lease && seen.shy === shy;
 }
--- a/src/membership/standing.ts
+++ b/src/membership/stability.ts
@@ -1,8 +1,8 @@
 import type { Clock } from "../clock.js";
 import { keys } from "../state/keys.js";
 import type { Mirror } from "../state/mirror.js";
+import { requiredStableMs } from "./owner-ranking.js";
 import { type Presence, parsePresence } from "./presence.js";
-import { standMs } from "./succession.js";
 
 interface Known {
   run: string;
@@ -13,7 +13,7 @@
 }
 
 /** How the other controllers have stood, by the presence that each of them shows. */
-export class Standings {
+export class ControllerStability {
   readonly #known = new Map<string, Known>();
 
   constructor(
@@ -33,10 +33,10 @@
   }
 
   /** Whether parts may go back to a controller: it has been there for a while, and does not flap. */
-  stands(name: string): boolean {
+  isStable(name: string): boolean {
     const known = this.#known.get(name);
     if (known === undefined) return false;
-    return this.clock.now() - known.since > standMs(known.begun.length, this.onceMs);
+    return this.clock.now() - known.since > requiredStableMs(known.begun.length, this.onceMs);
   }
 
   #seen(name: string, presence: Presence | null): void {
--- a/src/node.ts
+++ b/src/node.ts
@@ -1,7 +1,7 @@
 import { randomUUID } from "node:crypto";
 import { Agent, type Server } from "node:http";
 import { type Clock, systemClock } from "./clock.js";
-import { type ArchiveOptions, Controller, coreRecords } from "./controller/index.js";
+import { type ArchiveOptions, Controller, coreRecordValidator } from "./controller/index.js";
 import type { Extension } from "./extension/index.js";
 import { HttpClient } from "./http/client.js";
 import { startServer } from "./http/server.js";
@@ -56,7 +56,7 @@
       storeLimits(params.state),
       clock,
       reportMs,
-      coreRecords((key, why) => log.error({ key, why }, "record not written")),
+      coreRecordValidator((key, why) => log.error({ key, why }, "record not written")),
     );
     store.divide(cluster.length);
     this.#controller = new Controller({
--- a/src/part/yielding.ts
+++ b/src/part/allowances.ts
@@ -1,21 +1,21 @@
-import type { PlacingRules } from "../extension/index.js";
+import type { PlacementPolicy } from "../extension/index.js";
 import { type Amounts, EPSILON } from "../fair/share.js";
-import type { Live } from "../jobs/chunk.js";
+import type { Allocation } from "../jobs/chunk.js";
 import type { JobSpec } from "../wire/jobs.js";
-import { fitsRoom, type Machine } from "../workers/machine.js";
-import type { Places } from "../workers/places.js";
+import { fitsResources, type Machine } from "../workers/machine.js";
+import type { PlacementConstraints } from "../workers/placement-constraints.js";
 import type { PartContext } from "./context.js";
 import type { Job } from "./job.js";
 import type { Ledger } from "./ledger.js";
-import type { Pass } from "./placing.js";
+import type { Pass } from "./placement.js";
 import type { Quota } from "./quota.js";
-import type { FreeRoom } from "./summary.js";
-import { usable } from "./usable.js";
+import type { FreeCapacity } from "./summary.js";
+import { isUsable } from "./usable-machine.js";
 import type { Workers } from "./workers.js";
 
 /** A task that may have to go because its team's allowance is less than it uses. */
 interface Running {
-  live: Live;
+  live: Allocation;
   cpus: number;
   gpus: number;
   /** Milliseconds of work that stopping it loses. */
@@ -62,9 +62,9 @@
   return chosen;
 }
 
-/** Stops what runs beyond an allowance: with time to save above `keep`, at once above `hold`. */
+/** Stops what runs beyond an allowance: with time to save above `softLimit`, at once above `hardLimit`. */
 export function withdrawAllowances(
-  rules: PlacingRules,
+  rules: PlacementPolicy,
   ctx: PartContext,
   ledger: Ledger,
   workers: Workers,
@@ -74,26 +74,27 @@
     const use = ledger.use.get(team);
     const allowance = rules.allowance(team, ctx.index);
     if (use === undefined || allowance === null) continue;
-    if (!exceeds(use, allowance.keep) && !exceeds(use, allowance.hold)) continue;
+    if (!exceeds(use, allowance.softLimit) && !exceeds(use, allowance.hardLimit)) continue;
     const running: Running[] = [];
     for (const job of ledger.jobs.values()) {
       if (job.spec.team !== team) continue;
       const { cpus, gpus, checkpointS, saveS } = job.spec;
       for (const chunk of job.chunks.values()) {
-        for (const live of chunk.live.values()) {
+        for (const live of chunk.allocations.values()) {
           const ran = now - live.since;
           running.push({
             live,
             cpus,
             gpus,
             lossMs: checkpointS > 0 ? Math.min(ran, (checkpointS + saveS) * 1000) : ran,
-            stopping: live.stop === null ? null : live.stop.graceS,
+            stopping: live.stopRequest === null ? null : live.stopRequest.graceS,
           });
         }
       }
     }
-    for (const { live } of leaving(running, allowance.hold, true)) workers.stop(live, 0, "ended");
-    for (const { live } of leaving(running, allowance.keep, false)) {
+    for (const { live } of leaving(running, allowance.hardLimit, true))
+      workers.stop(live, 0, "ended");
+    for (const { live } of leaving(running, allowance.softLimit, false)) {
       const { checkpointS, saveS } = live.chunk.spec;
       workers.stop(live, checkpointS > 0 ? saveS + ctx.reportMs / 1000 : 0, "ends");
     }
@@ -104,18 +105,18 @@
 export function starvedOf(
   blocked: readonly Job[],
   quota: Quota,
-  { rules, places }: { rules: PlacingRules; places: Places },
+  { rules, places }: { rules: PlacementPolicy; places: PlacementConstraints },
   { machines, types }: Pick<Pass, "machines" | "types">,
 ): number {
   // Room that no guest's machine could give: ending grants for it would help nobody.
   const helps = (spec: JobSpec): boolean =>
     machines.some((machine) => {
       const type = types.get(machine.type);
-      return type !== undefined && places.may(spec, machine) && fitsRoom(type, spec);
+      return type !== undefined && places.allows(spec, machine) && fitsResources(type, spec);
     });
   const byTeam = new Map<string, number>();
   for (const { spec, failures, pending } of blocked) {
-    if (rules.yields(spec.team) || failures > 1 || !helps(spec)) continue;
+    if (rules.preemptible(spec.team) || failures > 1 || !helps(spec)) continue;
     byTeam.set(spec.team, (byTeam.get(spec.team) ?? 0) + pending * spec.cpus);
   }
   let cpus = 0;
@@ -129,13 +130,13 @@
 const MOST_ROOMS = 24;
 
 /** Free room, machine by machine; alike ones are counted together. */
-export function roomsOf(machines: Iterable<Machine>, ctx: PartContext): FreeRoom[] {
-  const found = new Map<string, FreeRoom>();
+export function freeCapacityOf(machines: Iterable<Machine>, ctx: PartContext): FreeCapacity[] {
+  const found = new Map<string, FreeCapacity>();
   const types = ctx.types();
   for (const machine of machines) {
     const type = types.get(machine.type);
-    if (type === undefined || !usable(machine, ctx) || machine.reserved.size > 0) continue;
-    const room = machine.room(type);
+    if (type === undefined || !isUsable(machine, ctx) || machine.reserved.size > 0) continue;
+    const room = machine.freeResources(type);
     const [cpus, gpus, memGb] = [down(room.cpus), down(room.gpus), down(room.memGb)];
     if (cpus <= 0 && gpus <= 0) continue;
     const key = `${machine.zone}/${cpus}/${gpus}/${memGb}`;
--- a/src/part/collecting.ts
+++ b/src/part/batch-builder.ts
@@ -1,13 +1,13 @@
 import type { Chunk } from "../jobs/chunk.js";
+import { jsonBytes, maxPageBytes } from "../jobs/chunk-page.js";
 import {
   allFinished,
   doneHeader,
   FINISHED,
-  type Header,
+  type JobHeader,
   partChar,
   withOwner,
-} from "../jobs/header.js";
-import { pageBytes, sizeOf } from "../jobs/page.js";
+} from "../jobs/job-header.js";
 import { keys } from "../state/keys.js";
 import type { Change, Condition } from "../state/store.js";
 import type { PartContext } from "./context.js";
@@ -17,14 +17,14 @@
 import type { Quota, SliceChange } from "./quota.js";
 
 /** One transaction on its way. */
-export interface Batch {
+export interface WriteBatch {
   when: Condition[];
   changes: Change[];
   /** Chunks whose state it saves, in which page; null for those that leave this part's pages. */
   saves: { chunk: Chunk; version: number; page: number | null; more: number[] }[];
   /** Pages it writes or removes, with the versions they had. */
   pages: { number: number; version: number; removed: boolean }[];
-  headers: { id: string; header: Header }[];
+  headers: { id: string; header: JobHeader }[];
   slices: SliceChange[];
   /** What it writes to the fence, if it does. */
   mark: string | null;
@@ -37,7 +37,7 @@
 const OVERHEAD = 128;
 
 /** Puts together what one transaction writes. */
-export class Collecting {
+export class BatchBuilder {
   /** The fence's version. */
   fence = 0;
   #marks = 0;
@@ -60,12 +60,12 @@
    * All that has changed, or as much of it as one transaction holds. A page is written with all
    * its chunks; a chunk that leaves does so together with its page and its header.
    */
-  collect(leave = true): Batch {
+  collect(leave = true): WriteBatch {
     const { index, store, mirror } = this.ctx;
     const kept = this.pages;
     const { conditions, txnBytes, wideBytes = 0 } = store.limits;
     const ops = this.most;
-    const pageSize = pageBytes(store.limits);
+    const pageSize = maxPageBytes(store.limits);
     const wideSize = kept.narrow ? pageSize : Math.max(pageSize, Math.min(wideBytes, txnBytes / 3));
     // What is kept for a page that has to be divided, where transactions are not small.
     const spare = Math.min(2, Math.floor(ops / 6));
@@ -78,13 +78,14 @@
     const guaranteed = small ? this.ctx.guaranteed() : new Set<string>();
     const urgent = (chunk: Chunk): boolean => {
       if (!guaranteed.has(chunk.job)) return false;
-      for (const live of chunk.live.values()) if (live.version > chunk.saved) return true;
+      for (const live of chunk.allocations.values())
+        if (live.version > chunk.savedVersion) return true;
       return false;
     };
     const pressing = new Set<number>();
     let presses = false;
     const fenceKey = keys.fence(index);
-    const batch: Batch = {
+    const batch: WriteBatch = {
       when: [
         this.ctx.claim,
         { key: fenceKey, version: this.fence },
@@ -109,7 +110,7 @@
     const put = (key: string, version: number, value: unknown): void => {
       batch.when.push({ key, version });
       batch.changes.push({ put: key, value });
-      bytes += OVERHEAD + sizeOf(value);
+      bytes += OVERHEAD + jsonBytes(value);
     };
     const remove = (number: number): void => {
       const version = kept.versions.get(number) ?? 0;
@@ -148,9 +149,9 @@
     for (const job of this.ledger.jobs.values()) {
       const over = !job.open;
       for (const chunk of [...job.chunks.values()]) {
-        const ends = chunk.complete || (over && chunk.live.size === 0);
-        if (ends || chunk.live.size > 0) chunk.movingTo = null;
-        if (ends && over && chunk.page === null && chunk.handover === 0) {
+        const ends = chunk.complete || (over && chunk.allocations.size === 0);
+        if (ends || chunk.allocations.size > 0) chunk.movingTo = null;
+        if (ends && over && chunk.page === null && chunk.handoverVersion === 0) {
           // Nothing was ever written of it.
           this.ledger.drop(chunk);
           continue;
@@ -160,21 +161,22 @@
           if (members === undefined) pages.set(chunk.page, [chunk]);
           else members.push(chunk);
         }
-        if (chunk.more.length > 0) {
+        if (chunk.extraPages.length > 0) {
           // It leaves once it is in one page again.
-          for (const number of [chunk.page!, ...chunk.more]) solo.add(number);
-          if (ends || chunk.saved < chunk.version) pieced.push(chunk);
+          for (const number of [chunk.page!, ...chunk.extraPages]) solo.add(number);
+          if (ends || chunk.savedVersion < chunk.version) pieced.push(chunk);
         } else if (leave && (ends || chunk.movingTo !== null)) leaving.push({ job, chunk });
-        else if (chunk.saved < chunk.version) toSave(chunk);
+        else if (chunk.savedVersion < chunk.version) toSave(chunk);
       }
     }
-    const headers = new Map<Job, Header>();
+    const headers = new Map<Job, JobHeader>();
     const left = new Set<Chunk>();
     /** Pages that a chunk leaves: they are written first, for it must not stay behind in one. */
     const leftPages = new Set<number>();
     let leftBytes = 0;
     if (small && turn === 1 && presses) {
-      for (const { chunk } of leaving.splice(0)) if (chunk.saved < chunk.version) toSave(chunk);
+      for (const { chunk } of leaving.splice(0))
+        if (chunk.savedVersion < chunk.version) toSave(chunk);
     }
     for (const { job, chunk } of leaving) {
       const { movingTo } = chunk;
@@ -186,7 +188,7 @@
       const newSize = newPage === null ? 0 : kept.sum(pages.get(newPage)!);
       const needed =
         (newPage === null ? 0 : 1) +
-        (chunk.handover > 0 ? 1 : 0) +
+        (chunk.handoverVersion > 0 ? 1 : 0) +
         (takesAlong ? 1 : 0) +
         (writesHeader && !headers.has(job) ? 1 : 0);
       const header = writesHeader ? leavingHeader(headers.get(job) ?? job.header, chunk) : null;
@@ -200,7 +202,7 @@
         !room(leftPages.size + headers.size + needed + spare, leftBytes + newSize + pageSize)
       ) {
         // It stays for now, and is saved like any other.
-        if (chunk.saved < chunk.version) toSave(chunk);
+        if (chunk.savedVersion < chunk.version) toSave(chunk);
         continue;
       }
       left.add(chunk);
@@ -213,13 +215,13 @@
       if (along !== null) {
         // What it has done, and the attempts it has used.
         batch.changes.push({ put: keys.handover(movingTo!, job.id, chunk.index), value: along });
-        bytes += OVERHEAD + sizeOf(along);
+        bytes += OVERHEAD + jsonBytes(along);
       }
       if (header !== null) headers.set(job, header);
     }
     for (const job of this.ledger.jobs.values()) {
       // For display only, so it waits for times when there is budget enough.
-      const begun = (job.chunks.get(0)?.live.size ?? 0) > 0 && !job.header.started;
+      const begun = (job.chunks.get(0)?.allocations.size ?? 0) > 0 && !job.header.started;
       if (!begun || !job.open || headers.has(job)) continue;
       if (store.writes.level < store.writes.burst / 2) {
         this.heldBack = true;
@@ -248,7 +250,7 @@
       !solo.has(number) && !kept.stuck.has(number) && kept.behind(number) && !kept.waits(number);
     for (const chunk of pieced) {
       if (kept.waits(chunk.page!)) continue;
-      const old = [chunk.page!, ...chunk.more];
+      const old = [chunk.page!, ...chunk.extraPages];
       const pieces = piecesOf(chunk, pageSize * FULL);
       const surplus = old.slice(pieces.length);
       if (!room(leftPages.size + pieces.length + surplus.length)) continue;
@@ -270,11 +272,11 @@
     for (const chunk of fresh) {
       // What it brought along is removed in the same transaction, one change for each chunk: when
       // many came at once, transactions had too many changes, and none went through any more.
-      if (chunk.handover > 0) {
+      if (chunk.handoverVersion > 0) {
         if (!room(leftPages.size + dirty.size + takenIn + Math.max(1, spare + 1))) continue;
         takenIn++;
       }
-      if (kept.size(chunk) > pageSize * FULL && (kept.narrow || this.ctx.together())) {
+      if (kept.size(chunk) > pageSize * FULL && (kept.narrow || this.ctx.allReadCurrentFormat())) {
         // Alone too large for a value: in pieces, all of them in this transaction.
         const pieces = piecesOf(chunk, pageSize * FULL);
         if (!room(leftPages.size + dirty.size + takenIn + pieces.length)) continue;
@@ -320,7 +322,9 @@
       }
       const wide = kept.stuck.has(number) ? wideSize : pageSize;
       let groups = kept.split(staying(number), wide * FULL - kept.rawSize(number));
-      const removals = staying(number).filter(({ handover }) => handover > 0).length;
+      const removals = staying(number).filter(
+        ({ handoverVersion: handover }) => handover > 0,
+      ).length;
       if (groups.length > 1 && groups.length + removals >= ops) {
         // More than any transaction holds: what changes of it goes to other pages, one by one.
         kept.stuck.add(number);
@@ -371,14 +375,14 @@
   }
 
   /** A header as it is written: closed with its last chunk. */
-  #closing(header: Header): Header {
+  #closing(header: JobHeader): JobHeader {
     return allFinished(header.owners) ? doneHeader(header, this.ctx.clock.wall()) : header;
   }
 
-  #forgetHandover(batch: Batch, chunk: Chunk): void {
-    if (chunk.handover === 0) return;
+  #forgetHandover(batch: WriteBatch, chunk: Chunk): void {
+    if (chunk.handoverVersion === 0) return;
     const key = keys.handover(this.ctx.index, chunk.job, chunk.index);
-    batch.when.push({ key, version: chunk.handover });
+    batch.when.push({ key, version: chunk.handoverVersion });
     batch.changes.push({ remove: key });
   }
 
@@ -389,7 +393,7 @@
 }
 
 /** The header once a chunk has ended, or has gone where it is moving to. */
-function leavingHeader(header: Header, { index, movingTo }: Chunk): Header {
+function leavingHeader(header: JobHeader, { index, movingTo }: Chunk): JobHeader {
   const owner = movingTo === null ? FINISHED : partChar(movingTo);
   const owners = withOwner(header.owners, index, owner);
   return { ...header, owners, moves: header.moves + (movingTo === null ? 0 : 1) };
--- a/src/part/tidying.ts
+++ b/src/part/cancelled-job-cleanup.ts
@@ -1,5 +1,5 @@
-import type { Header } from "../jobs/header.js";
-import { isHeader, partChar, tidied } from "../jobs/header.js";
+import type { JobHeader } from "../jobs/job-header.js";
+import { isHeader, partChar, withPartReleased } from "../jobs/job-header.js";
 import { keys } from "../state/keys.js";
 import { schemaOf } from "../state/schema.js";
 import type { PartContext } from "./context.js";
@@ -13,7 +13,7 @@
  * part has, a header may be archived. Nothing waits for it, so it takes only what is to spare. A
  * write that is not answered, or is applied late, does no harm: what has gone does not come back.
  */
-export class Tidying {
+export class CancelledJobCleanup {
   readonly #left = new Set<string>();
   #busy = false;
 
@@ -40,7 +40,7 @@
     if (schemaOf(this.ctx.mirror).version === 1 && this.#left.size < MANY) return;
     const { writes, limits } = this.ctx.store;
     const most = Math.min(limits.ops, Math.max(1, Math.floor(writes.burst / 4)));
-    const chosen: { key: string; version: number; header: Header }[] = [];
+    const chosen: { key: string; version: number; header: JobHeader }[] = [];
     let bytes = 0;
     for (const id of this.#left) {
       if (this.ledger.jobs.has(id) || this.loading(id)) continue;
@@ -51,7 +51,7 @@
         this.#left.delete(id);
         continue;
       }
-      const next = tidied(header, this.ctx.index);
+      const next = withPartReleased(header, this.ctx.index);
       bytes += 512 + Buffer.byteLength(JSON.stringify(next));
       if (chosen.length >= most || bytes > limits.txnBytes) break;
       chosen.push({ key, version: row!.version, header: next });
@@ -63,7 +63,7 @@
     });
   }
 
-  async #write(chosen: { key: string; version: number; header: Header }[]): Promise<void> {
+  async #write(chosen: { key: string; version: number; header: JobHeader }[]): Promise<void> {
     const { store, mirror, claim, log } = this.ctx;
     try {
       const result = await store.transact(
--- a/src/part/commits.ts
+++ b/src/part/committer.ts
@@ -2,7 +2,7 @@
 import type { ChunkState } from "../jobs/chunk.js";
 import { keys } from "../state/keys.js";
 import { Refused, Rejected, type Row } from "../state/store.js";
-import { type Batch, Collecting } from "./collecting.js";
+import { BatchBuilder, type WriteBatch } from "./batch-builder.js";
 import type { PartContext } from "./context.js";
 import type { Ledger } from "./ledger.js";
 import { Pages } from "./pages.js";
@@ -12,8 +12,8 @@
 export const ONLY_WATCHED: ReadonlySet<string> = new Set([keys.cancels, keys.configurationHead]);
 
 /** What became of a batch. Without `revision` it was not applied, and never will be. */
-export interface Outcome {
-  batch: Batch;
+export interface CommitResult {
+  batch: WriteBatch;
   revision: number | null;
   /** Where its conditions failed: what is there now. */
   rows: Row[];
@@ -25,9 +25,9 @@
  * and slices. One transaction is on its way at a time, and what became of it is always found out
  * before the next one.
  */
-export class Commits {
+export class Committer {
   readonly #pages: Pages;
-  readonly #collecting: Collecting;
+  readonly #collecting: BatchBuilder;
   #saving = false;
   /** The ledger's count when a look found nothing to write. */
   #cleanAt = 0;
@@ -36,11 +36,11 @@
     readonly ctx: PartContext,
     readonly ledger: Ledger,
     readonly quota: Quota,
-    readonly done: (outcome: Outcome) => void,
+    readonly done: (outcome: CommitResult) => void,
     readonly stopped: () => boolean,
   ) {
     this.#pages = new Pages(ctx);
-    this.#collecting = new Collecting(ctx, ledger, quota, this.#pages);
+    this.#collecting = new BatchBuilder(ctx, ledger, quota, this.#pages);
   }
 
   /** What the store had when this owner began, or has now. */
@@ -96,28 +96,28 @@
     for (const { spec, chunks } of this.ledger.jobs.values()) {
       if (!teams.has(spec.team)) continue;
       for (const chunk of chunks.values()) {
-        for (const live of [...chunk.live.values()]) {
-          if (live.version > chunk.saved) this.ledger.release(live, false);
+        for (const live of [...chunk.allocations.values()]) {
+          if (live.version > chunk.savedVersion) this.ledger.release(live, false);
         }
       }
     }
   }
 
-  async #commit(batch: Batch): Promise<void> {
+  async #commit(batch: WriteBatch): Promise<void> {
     const { store, clock, log, reportMs } = this.ctx;
-    const outcome: Outcome = { batch, revision: null, rows: [], missing: [] };
+    const outcome: CommitResult = { batch, revision: null, rows: [], missing: [] };
     try {
       const result = await store.transact(batch.when, batch.changes);
       if (result.ok) outcome.revision = result.revision;
       else if (result.failed.includes(keys.claim(this.ctx.index))) {
-        this.ctx.lost("claim changed");
+        this.ctx.onClaimLost("claim changed");
         return;
       } else {
         await this.#read(result.failed, outcome);
         // Which jobs were cancelled is learned from their headers, and what a revision changes
         // together with all slices before it: by the watch.
         for (const { key, version } of outcome.rows) {
-          if (ONLY_WATCHED.has(key)) await this.ctx.mirror.reached(version);
+          if (ONLY_WATCHED.has(key)) await this.ctx.mirror.waitForRevision(version);
         }
       }
     } catch (error) {
@@ -135,7 +135,7 @@
   }
 
   /** Reads keys until they have been read. */
-  async #read(names: readonly string[], outcome: Outcome): Promise<void> {
+  async #read(names: readonly string[], outcome: CommitResult): Promise<void> {
     for (const key of names) {
       for (;;) {
         if (this.stopped()) return;
@@ -156,7 +156,7 @@
    * time: so the fence that it depends on is changed first. After that it was applied, or never
    * will be, and the keys that only this owner writes tell which. False when the claim is lost.
    */
-  async #settle(batch: Batch, outcome: Outcome): Promise<boolean> {
+  async #settle(batch: WriteBatch, outcome: CommitResult): Promise<boolean> {
     const { store, clock, index, reportMs } = this.ctx;
     const fence = keys.fence(index);
     let seen: number | null = null;
@@ -175,7 +175,7 @@
           break;
         }
         if (result.failed.includes(keys.claim(index))) {
-          this.ctx.lost("claim changed");
+          this.ctx.onClaimLost("claim changed");
           return false;
         }
       } catch {
@@ -185,7 +185,7 @@
     const page = batch.pages.find(({ removed }) => !removed);
     if (page === undefined) outcome.revision = seen;
     else {
-      const found: Outcome = { ...outcome, rows: [], missing: [] };
+      const found: CommitResult = { ...outcome, rows: [], missing: [] };
       await this.#read([keys.page(index, page.number)], found);
       const version = found.rows[0]?.version ?? 0;
       if (version !== page.version) outcome.revision = version;
@@ -197,7 +197,7 @@
    * The service finds fault with a transaction: its limits have fallen, or one record of it is too large.
    * It is never sent again as it was: smaller ones show which record it is, and that one waits.
    */
-  #rejected({ changes, pages }: Batch, why: string): void {
+  #rejected({ changes, pages }: WriteBatch, why: string): void {
     const { log, metrics, index } = this.ctx;
     metrics.add({ kind: "event", what: "commit rejected" });
     log.error({ part: index, why, changes: changes.length }, "commit rejected");
@@ -208,7 +208,7 @@
   }
 
   /** Takes in what became of a batch. */
-  settled({ batch, revision, rows, missing }: Outcome): void {
+  settled({ batch, revision, rows, missing }: CommitResult): void {
     this.#saving = false;
     this.ledger.changes++;
     const { index } = this.ctx;
@@ -220,7 +220,7 @@
       for (const [key, version] of found) this.known(key, version);
       for (const { chunk } of batch.saves) {
         const key = keys.handover(index, chunk.job, chunk.index);
-        chunk.handover = found.get(key) ?? chunk.handover;
+        chunk.handoverVersion = found.get(key) ?? chunk.handoverVersion;
       }
       return;
     }
@@ -234,9 +234,9 @@
     }
     for (const { chunk, version, page, more } of batch.saves) {
       chunk.page = page;
-      chunk.more = more;
-      chunk.saved = version;
-      chunk.handover = 0;
+      chunk.extraPages = more;
+      chunk.savedVersion = version;
+      chunk.handoverVersion = 0;
     }
     for (const change of batch.slices) this.quota.committed(change);
   }
--- a/src/part/inspect.ts
+++ b/src/part/inspect.ts
@@ -1,10 +1,10 @@
 import type { Chunk } from "../jobs/chunk.js";
-import { fitsRoom, type Machine, typeFits, unreserved } from "../workers/machine.js";
+import { fitsResources, type Machine, typeFits, withoutReservations } from "../workers/machine.js";
 import type { PartContext } from "./context.js";
 import type { Job } from "./job.js";
 import type { Ledger } from "./ledger.js";
 import type { Quota } from "./quota.js";
-import { usable } from "./usable.js";
+import { isUsable } from "./usable-machine.js";
 
 /** How a part's machines stand for one job, or for any. Counts. */
 export interface MachineCounts {
@@ -91,7 +91,7 @@
     return {
       part: index,
       token,
-      settling: this.ctx.settling(),
+      settling: this.ctx.reconcilingRestore(),
       changesLeft: Math.round(store.writes.level),
       machines: this.#machines(null),
       jobs: jobs.map((job) => this.#job(job)),
@@ -119,21 +119,21 @@
     const counts = { all: 0, usable: 0, allowed: 0, roomy: 0, silent: 0, deaf: 0, leaving: 0 };
     for (const machine of this.ledger.machines.values()) {
       counts.all++;
-      if (machine.deafSince !== null) counts.deaf++;
+      if (machine.unreachableSince !== null) counts.deaf++;
       else if (now - machine.lastSeen >= 3 * ctx.reportMs) counts.silent++;
       if (machine.retired !== null || machine.noticeS !== null) counts.leaving++;
-      if (!usable(machine, ctx)) continue;
+      if (!isUsable(machine, ctx)) continue;
       counts.usable++;
       if (job === null || !this.#allows(job, machine)) continue;
       counts.allowed++;
-      const room = unreserved(machine.roomIn(types), machine, job.id);
-      if (fitsRoom(room, job.spec)) counts.roomy++;
+      const room = withoutReservations(machine.freeResourcesIn(types), machine, job.id);
+      if (fitsResources(room, job.spec)) counts.roomy++;
     }
     return counts;
   }
 
   #allows(job: Job, machine: Machine): boolean {
-    return this.ctx.places.may(job.spec, machine) && !machine.failedJobs.has(job.id);
+    return this.ctx.constraints.allows(job.spec, machine) && !machine.failedJobs.has(job.id);
   }
 
   #job(job: Job): JobInspection {
@@ -145,16 +145,16 @@
       chunks.reduce((all, chunk) => all + of(chunk), 0);
     let unheardMs = 0;
     let running = 0;
-    for (const { live } of chunks) {
+    for (const { allocations: live } of chunks) {
       for (const { machine, running: runs } of live.values()) {
         if (runs) running++;
         const known = this.ledger.machines.get(machine);
-        const heard = Math.min(known?.lastSeen ?? now, known?.deafSince ?? now);
+        const heard = Math.min(known?.lastSeen ?? now, known?.unreachableSince ?? now);
         unheardMs = Math.max(unheardMs, now - heard);
       }
     }
     const left = quota.left(spec.team);
-    const matching = ctx.places.matching;
+    const matching = ctx.constraints.matcher;
     const pending = job.pending;
     let reserved = 0;
     for (const machine of this.ledger.machines.values()) if (machine.reserved.has(id)) reserved++;
@@ -176,12 +176,12 @@
       awaits: ctx.pipelines.waitsFor(id).slice(0, 20),
       expectedS: seconds(ctx.pipelines.expectedMs(id)),
       dueS: Number.isFinite(job.due) ? seconds(job.due - ctx.clock.wall()) : null,
-      idle: ctx.places.idle(id, spec),
-      held: spec.match === undefined ? null : (matching?.held(id) ?? null),
+      idle: ctx.constraints.cannotStart(id, spec),
+      held: spec.match === undefined ? null : (matching?.holdReason(id) ?? null),
       fitsQuota: spec.cpus <= left + 1e-6,
       sliceLeft: Number.isFinite(left) ? left : null,
       behind: spec.checkpointS > 0 && spec.rank < (this.holds().get(spec.team) ?? 0),
-      lent: ctx.lentTo(spec.team),
+      lent: ctx.isBorrower(spec.team),
       machines: this.#machines(job),
       reserved,
       fitsSome: [...ctx.types().values()].some((type) => typeFits(spec, type)),
--- a/src/part/job.ts
+++ b/src/part/job.ts
@@ -1,6 +1,6 @@
 import type { Chunk } from "../jobs/chunk.js";
-import { dueOf, type Targets } from "../jobs/due.js";
-import type { Header } from "../jobs/header.js";
+import { dueTime, type Targets } from "../jobs/due-time.js";
+import type { JobHeader } from "../jobs/job-header.js";
 import { type Pipelines, placedSpec } from "../pipeline/index.js";
 import { keys } from "../state/keys.js";
 import type { Mirror } from "../state/mirror.js";
@@ -19,13 +19,13 @@
   notBefore = 0;
   /** Time of day of acceptance. */
   readonly at: number;
-  #last: Header;
+  #last: JobHeader;
   #calledOff = 0;
 
   constructor(
     readonly id: string,
     spec: JobSpec,
-    header: Header,
+    header: JobHeader,
     readonly mirror: Mirror,
     public waitingSince: number,
     targets: Targets,
@@ -34,7 +34,7 @@
     this.#last = header;
     this.spec = placedSpec(spec);
     this.at = header.at;
-    this.due = dueOf(spec, this.at, targets);
+    this.due = dueTime(spec, this.at, targets);
   }
 
   /**
@@ -42,9 +42,9 @@
    * our last commit when its answer came after news of a later one; written on condition of that
    * later version it undid a move, and a chunk had two owners.
    */
-  get header(): Header {
+  get header(): JobHeader {
     const row = this.mirror.rows.get(this.key);
-    if (row !== undefined) this.#last = row.value as Header;
+    if (row !== undefined) this.#last = row.value as JobHeader;
     // Its header is gone: it has been over for so long that it was archived, and whoever holds this
     // was out of touch meanwhile.
     else if (this.#last.status === "open") this.#last = { ...this.#last, status: "cancelled" };
@@ -57,7 +57,7 @@
     if (own === undefined) return;
     this.spec.rank = pipelines.rank(this.id, own.rank);
     const since = pipelines.since(this.id, this.at);
-    this.due = pipelines.due(this.id, dueOf(own, this.at, targets, since));
+    this.due = pipelines.due(this.id, dueTime(own, this.at, targets, since));
   }
 
   get open(): boolean {
@@ -103,7 +103,7 @@
   /** Tasks that are placed here and not proved gone. */
   get placed(): number {
     let count = 0;
-    for (const chunk of this.chunks.values()) count += chunk.live.size;
+    for (const chunk of this.chunks.values()) count += chunk.allocations.size;
     return count;
   }
 
@@ -113,8 +113,8 @@
     return this.header.started;
   }
 
-  get live(): boolean {
-    for (const chunk of this.chunks.values()) if (chunk.live.size > 0) return true;
+  get hasAllocations(): boolean {
+    for (const chunk of this.chunks.values()) if (chunk.allocations.size > 0) return true;
     return false;
   }
 }
--- a/src/part/ledger.ts
+++ b/src/part/ledger.ts
@@ -1,7 +1,7 @@
-import { type Amounts, add, EPSILON } from "../fair/share.js";
-import { Chunk, type ChunkState, type Live } from "../jobs/chunk.js";
-import { type Header, partChar } from "../jobs/header.js";
-import { pageBytes } from "../jobs/page.js";
+import { type Amounts, addAmounts, EPSILON } from "../fair/share.js";
+import { type Allocation, Chunk, type ChunkState } from "../jobs/chunk.js";
+import { maxPageBytes } from "../jobs/chunk-page.js";
+import { type JobHeader, partChar } from "../jobs/job-header.js";
 import { type JobSpec, PRIORITIES } from "../wire/jobs.js";
 import { Machine } from "../workers/machine.js";
 import type { PartContext } from "./context.js";
@@ -50,15 +50,15 @@
    * the names of machines are: each takes its name, two numbers and what separates them.
    */
   get mostLive(): number {
-    const bytes = pageBytes(this.ctx.store.limits) - 1024;
+    const bytes = maxPageBytes(this.ctx.store.limits) - 1024;
     return Math.max(1, Math.floor((bytes * 0.75) / (this.#longestName + 20)));
   }
 
   /** Whether a chunk's state still fits a page with one more task on a machine. */
   holds(chunk: Chunk, machine: string): boolean {
-    const { live } = chunk;
+    const { allocations: live } = chunk;
     if (live.size < this.mostLive) return true;
-    const bytes = pageBytes(this.ctx.store.limits);
+    const bytes = maxPageBytes(this.ctx.store.limits);
     if (bytes >= 8192) return false;
     // Small values: what it takes is counted, with each machine named once.
     const names = new Set([machine]);
@@ -70,7 +70,7 @@
   }
 
   /** The chunks of a job that are ours by its header and that are not here yet. */
-  missing(id: string, header: Header): { job: Job; chunks: number[] } | null {
+  missing(id: string, header: JobHeader): { job: Job; chunks: number[] } | null {
     if (header.spec === undefined) return null;
     const mine = partChar(this.ctx.index);
     if (!header.owners.includes(mine)) return null;
@@ -107,8 +107,8 @@
     const chunk = new Chunk(job.id, job.spec, index, first, size, now);
     if (state !== null) {
       chunk.load(state, now);
-      for (const live of chunk.live.values()) {
-        this.machine(live.machine).live.set(live.task, live);
+      for (const live of chunk.allocations.values()) {
+        this.machine(live.machine).allocations.set(live.task, live);
         this.#charge(job.spec, 1);
       }
     }
@@ -130,7 +130,7 @@
     if (job === undefined) return null;
     const number = Number(task.slice(slash + 1));
     const chunk = job.chunks.get(Math.floor(number / job.header.chunkSize));
-    return chunk === undefined ? null : { job, chunk, index: number - chunk.first };
+    return chunk === undefined ? null : { job, chunk, index: number - chunk.firstTask };
   }
 
   machine(id: string): Machine {
@@ -147,9 +147,9 @@
     const now = this.ctx.clock.now();
     const live = chunk.place(index, machine.id, now);
     this.changes++;
-    machine.live.set(live.task, live);
+    machine.allocations.set(live.task, live);
     if (job.spec.image !== null) machine.images.add(job.spec.image);
-    machine.touched();
+    machine.invalidateFreeResources();
     const kept = machine.reserved.get(job.id);
     if (kept !== undefined && --kept.tasks === 0) machine.reserved.delete(job.id);
     this.#charge(job.spec, 1);
@@ -158,18 +158,18 @@
   }
 
   /** The task is proved gone; says whether it had been counted here until now. */
-  release(live: Live, completed: boolean): boolean {
+  release(live: Allocation, completed: boolean): boolean {
     const { chunk } = live;
-    if (chunk.live.get(live.index) !== live) return false;
+    if (chunk.allocations.get(live.index) !== live) return false;
     const now = this.ctx.clock.now();
     chunk.release(live, completed);
     this.changes++;
     this.#charge(chunk.spec, -1);
     const machine = this.machines.get(live.machine);
     if (machine !== undefined) {
-      machine.live.delete(live.task);
-      machine.touched();
-      if (machine.live.size === 0) machine.idleSince = now;
+      machine.allocations.delete(live.task);
+      machine.invalidateFreeResources();
+      if (machine.allocations.size === 0) machine.idleSince = now;
     }
     const job = this.jobs.get(chunk.job);
     if (job !== undefined && !completed) job.waitingSince = now;
@@ -178,11 +178,12 @@
 
   /** CPUs of all tasks that wait here; what yields presses on nobody. */
   get waitingCpus(): number {
-    const { rules, places } = this.ctx;
+    const { policy: rules, constraints: places } = this.ctx;
     let sum = 0;
     for (const job of this.jobs.values()) {
-      if (places.idle(job.id, job.spec)) continue;
-      if (job.open && rules?.yields(job.spec.team) !== true) sum += job.waiting * job.spec.cpus;
+      if (places.cannotStart(job.id, job.spec)) continue;
+      if (job.open && rules?.preemptible(job.spec.team) !== true)
+        sum += job.waiting * job.spec.cpus;
     }
     return Math.round(sum);
   }
@@ -190,13 +191,13 @@
   /** By team, what its tasks here use and wait for, by priority from the lowest. */
   demand(): Map<string, Demand> {
     const sums = new Map<string, Demand>();
-    const timely = this.ctx.timely();
+    const timely = this.ctx.onTime();
     for (const job of this.jobs.values()) {
       const { spec, waiting, chunks } = job;
-      const open = job.open && !this.ctx.places.idle(job.id, spec);
+      const open = job.open && !this.ctx.constraints.cannotStart(job.id, spec);
       const rank = rankOf(job, timely);
       let count = open ? waiting : 0;
-      for (const chunk of chunks.values()) count += chunk.live.size;
+      for (const chunk of chunks.values()) count += chunk.allocations.size;
       let sum = sums.get(spec.team);
       if (sum === undefined) {
         sum = noDemand();
@@ -211,7 +212,7 @@
 
   #charge(spec: JobSpec, sign: 1 | -1): void {
     const amounts = { cpus: sign * spec.cpus, gpus: sign * spec.gpus };
-    const use = add(this.use.get(spec.team) ?? ZERO, amounts);
+    const use = addAmounts(this.use.get(spec.team) ?? ZERO, amounts);
     // What adding and taking away leave of a task that is gone is no use, and may be below zero.
     if (Math.abs(use.cpus) < EPSILON) use.cpus = 0;
     if (Math.abs(use.gpus) < EPSILON) use.gpus = 0;
--- a/src/part/lending.ts
+++ b/src/part/lending.ts
@@ -1,7 +1,7 @@
 import type { JobSpec } from "../wire/jobs.js";
 import type { PartContext } from "./context.js";
 import type { Ledger } from "./ledger.js";
-import type { Pass } from "./placing.js";
+import type { Pass } from "./placement.js";
 
 /** The share of a part's CPUs that is not lent: what arrives within some seconds in busy times. */
 const HEADROOM = 0.1;
@@ -17,7 +17,7 @@
 /** CPUs that teams without a guarantee use in this part. */
 export function lentUse({ ledger, ctx }: { ledger: Ledger; ctx: PartContext }): number {
   let sum = 0;
-  for (const [team, { cpus }] of ledger.use) if (ctx.lentTo(team)) sum += cpus;
+  for (const [team, { cpus }] of ledger.use) if (ctx.isBorrower(team)) sum += cpus;
   return sum;
 }
 
@@ -46,7 +46,10 @@
    */
   lends({ now, machines, types }: Pass): number {
     if (this.#lendable === null) {
-      const free = machines.reduce((sum, one) => sum + Math.max(0, one.roomIn(types).cpus), 0);
+      const free = machines.reduce(
+        (sum, one) => sum + Math.max(0, one.freeResourcesIn(types).cpus),
+        0,
+      );
       const kept = floorOf(machines, types);
       this.#lendable = { idle: free - kept, floor: kept - lentUse(this) };
     }
@@ -58,6 +61,6 @@
   taken({ team, cpus }: JobSpec): void {
     if (this.#lendable === null) return;
     this.#lendable.idle -= cpus;
-    if (this.ctx.lentTo(team)) this.#lendable.floor -= cpus;
+    if (this.ctx.isBorrower(team)) this.#lendable.floor -= cpus;
   }
 }
--- a/src/part/sweep.ts
+++ b/src/part/orphan-sweep.ts
@@ -1,5 +1,5 @@
-import { type Header, isHeader, partChar } from "../jobs/header.js";
-import { HEADERS } from "../state/keys.js";
+import { isHeader, type JobHeader, partChar } from "../jobs/job-header.js";
+import { JOB_HEADER_PREFIX } from "../state/keys.js";
 import type { PartContext } from "./context.js";
 
 /** Where a chunk that a header gives to this part is: `null` when it is nowhere. */
@@ -9,9 +9,9 @@
  * The chunks that a header gives to a part and that the part does not have. `left alone`: a record
  * that may be about it cannot be read, so it may be running (see `Quarantine`); somebody has to look.
  */
-export function strayChunks(
+export function orphanChunks(
   id: string,
-  header: Header,
+  header: JobHeader,
   part: number,
   whereIs: (id: string, chunk: number) => Whereabouts,
 ): { chunk: number; why: string }[] {
@@ -31,14 +31,14 @@
  * Once a lease, looks for accepted jobs that their part does not try to place. A safety net: headers
  * are taken in as they come, so it should find nothing. What it finds twice in a row is taken in and counted.
  */
-export class Sweep {
+export class OrphanSweep {
   #at: number;
   #found = new Set<string>();
 
   constructor(
     readonly ctx: PartContext,
     readonly whereIs: (id: string, chunk: number) => Whereabouts,
-    readonly takeIn: (id: string, header: Header) => void,
+    readonly takeIn: (id: string, header: JobHeader) => void,
   ) {
     this.#at = ctx.clock.now();
   }
@@ -50,9 +50,9 @@
     const before = this.#found;
     this.#found = new Set();
     for (const [key, { value }] of mirror.rows) {
-      if (!key.startsWith(HEADERS) || !isHeader(value)) continue;
-      const id = key.slice(HEADERS.length);
-      const stray = strayChunks(id, value, index, this.whereIs);
+      if (!key.startsWith(JOB_HEADER_PREFIX) || !isHeader(value)) continue;
+      const id = key.slice(JOB_HEADER_PREFIX.length);
+      const stray = orphanChunks(id, value, index, this.whereIs);
       if (stray.length === 0) continue;
       this.#found.add(id);
       if (!before.has(id)) continue;
--- a/src/part/pages.ts
+++ b/src/part/pages.ts
@@ -1,5 +1,11 @@
 import type { Chunk, ChunkState } from "../jobs/chunk.js";
-import { chunkName, encodePage, type PageRecord, pageBytes, sizeOf } from "../jobs/page.js";
+import {
+  chunkName,
+  encodePage,
+  jsonBytes,
+  maxPageBytes,
+  type PageRecord,
+} from "../jobs/chunk-page.js";
 import { keys } from "../state/keys.js";
 import type { PartContext } from "./context.js";
 
@@ -30,8 +36,8 @@
     const number = Number(key.slice(prefix.length));
     if (version > 0) this.versions.set(number, version);
     else this.versions.delete(number);
-    const size = value === undefined ? 0 : sizeOf(value);
-    if (size > pageBytes(this.ctx.store.limits)) this.stuck.add(number);
+    const size = value === undefined ? 0 : jsonBytes(value);
+    if (size > maxPageBytes(this.ctx.store.limits)) this.stuck.add(number);
   }
 
   /**
@@ -40,7 +46,7 @@
    * become the owner, which goes by the last page and not by the newest (`docs/state.md`).
    */
   isStuck(number: number): boolean {
-    return this.stuck.has(number) && (this.narrow || this.ctx.together());
+    return this.stuck.has(number) && (this.narrow || this.ctx.allReadCurrentFormat());
   }
 
   /** Whether a page is larger than pages may be now. */
@@ -84,13 +90,13 @@
 
   rawSize(number: number): number {
     const raw = this.raw.get(number);
-    return raw === undefined ? 0 : sizeOf(pageOf([], raw));
+    return raw === undefined ? 0 : jsonBytes(pageOf([], raw));
   }
 
   size(chunk: Chunk): number {
     const known = this.#sizes.get(chunk);
     if (known?.version === chunk.version) return known.size;
-    const size = sizeOf(pageOf([chunk]));
+    const size = jsonBytes(pageOf([chunk]));
     this.#sizes.set(chunk, { version: chunk.version, size });
     return size;
   }
@@ -102,7 +108,7 @@
 
   /** In halves, until each of them fits a page. */
   split(chunks: Chunk[], most: number): Chunk[][] {
-    if (chunks.length < 2 || this.sum(chunks) <= most || sizeOf(pageOf(chunks)) <= most) {
+    if (chunks.length < 2 || this.sum(chunks) <= most || jsonBytes(pageOf(chunks)) <= most) {
       return [chunks];
     }
     const half = Math.ceil(chunks.length / 2);
@@ -121,7 +127,7 @@
         [name, { attempts, done: i === 0 ? done : "", live: live.slice(i * each, (i + 1) * each) }],
       ]),
     );
-    if (count >= live.length || pieces.every((piece) => sizeOf(piece) <= most)) return pieces;
+    if (count >= live.length || pieces.every((piece) => jsonBytes(piece) <= most)) return pieces;
   }
 }
 
--- a/src/part/part.ts
+++ b/src/part/part.ts
@@ -1,40 +1,40 @@
 import { Actor } from "../actor.js";
 import { sleep } from "../clock.js";
 import type { Reply } from "../http/server.js";
-import { type Header, isHeader, partChar } from "../jobs/header.js";
-import { chunkName, readPage } from "../jobs/page.js";
-import { HEADERS, keys } from "../state/keys.js";
+import { chunkName, readPage } from "../jobs/chunk-page.js";
+import { isHeader, type JobHeader, partChar } from "../jobs/job-header.js";
+import { JOB_HEADER_PREFIX, keys } from "../state/keys.js";
 import type { Row } from "../state/store.js";
 import type * as wire from "../wire/workers.js";
-import { Announcing } from "./announcing.js";
-import { Balancing } from "./balancing.js";
-import { Commits, ONLY_WATCHED, type Outcome } from "./commits.js";
+import { starvedOf, withdrawAllowances } from "./allowances.js";
+import { CancelledJobCleanup } from "./cancelled-job-cleanup.js";
+import { type CommitResult, Committer, ONLY_WATCHED } from "./committer.js";
 import type { PartContext } from "./context.js";
-import { enforce } from "./holding.js";
 import { type Inspected, Inspector, type PartInspection } from "./inspect.js";
 import type { Job } from "./job.js";
-import { type Kept, readRecords } from "./kept.js";
+import { enforceHoldsAndRunLimits } from "./job-holds.js";
 import { Ledger } from "./ledger.js";
-import { beginPass, Placing } from "./placing.js";
-import { Preempting } from "./preempting.js";
+import { OrphanSweep } from "./orphan-sweep.js";
+import { beginPass, Placement } from "./placement.js";
+import { Preemption } from "./preemption.js";
 import { Quarantine } from "./quarantine.js";
 import { Quota } from "./quota.js";
-import { Settling } from "./settling.js";
-import { Sweep } from "./sweep.js";
-import { Tidying } from "./tidying.js";
+import { Rebalancing } from "./rebalancing.js";
+import { readRecords, type StoredChunk } from "./record-loader.js";
+import { RestoreReconciliation } from "./restore-reconciliation.js";
+import { SummaryPublisher } from "./summary-publisher.js";
 import { Workers } from "./workers.js";
-import { starvedOf, withdrawAllowances } from "./yielding.js";
 
 export type { PartContext } from "./context.js";
 
 export type PartMessage =
   | { kind: "report"; report: wire.Report; reply(answer: Reply): void }
-  | { kind: "header"; id: string; header: Header }
+  | { kind: "header"; id: string; header: JobHeader }
   | { kind: "called off"; id: string; version: number }
   | { kind: "gone"; machines: readonly string[] }
   | { kind: "moved"; job: string; chunk: number; row: Row | null }
   | { kind: "tick" }
-  | { kind: "settled"; outcome: Outcome }
+  | { kind: "settled"; outcome: CommitResult }
   | { kind: "stop" };
 
 /**
@@ -45,16 +45,16 @@
   readonly #ledger: Ledger;
   readonly #quota: Quota;
   readonly #workers: Workers;
-  readonly #placing: Placing;
-  readonly #balancing: Balancing;
-  readonly #preempting: Preempting;
-  readonly #commits: Commits;
-  readonly #tidying: Tidying;
-  readonly #sweep: Sweep;
+  readonly #placing: Placement;
+  readonly #balancing: Rebalancing;
+  readonly #preempting: Preemption;
+  readonly #commits: Committer;
+  readonly #tidying: CancelledJobCleanup;
+  readonly #sweep: OrphanSweep;
   readonly #inspector: Inspector;
-  readonly #settling: Settling;
+  readonly #settling: RestoreReconciliation;
   readonly #quarantine: Quarantine;
-  readonly #announcing: Announcing;
+  readonly #announcing: SummaryPublisher;
   readonly #loading = new Set<string>();
   #tickAt = 0;
   #timerSet = false;
@@ -70,10 +70,10 @@
     this.#workers = new Workers(ctx, this.#ledger, (urgent) =>
       this.#soon(urgent ? 0 : ctx.reportMs / 10),
     );
-    this.#placing = new Placing(ctx, this.#ledger, this.#quota);
-    this.#balancing = new Balancing(ctx);
-    this.#preempting = new Preempting(ctx, this.#ledger, this.#quota, this.#workers);
-    this.#commits = new Commits(
+    this.#placing = new Placement(ctx, this.#ledger, this.#quota);
+    this.#balancing = new Rebalancing(ctx);
+    this.#preempting = new Preemption(ctx, this.#ledger, this.#quota, this.#workers);
+    this.#commits = new Committer(
       ctx,
       this.#ledger,
       this.#quota,
@@ -81,10 +81,15 @@
       () => this.stopped,
     );
     this.#quarantine = new Quarantine(ctx);
-    this.#announcing = new Announcing(ctx, this.#ledger, this.#quota);
-    this.#settling = new Settling(ctx, this.#ledger);
-    this.#inspector = new Inspector(ctx, this.#ledger, this.#quota, () => this.#placing.holds);
-    this.#sweep = new Sweep(
+    this.#announcing = new SummaryPublisher(ctx, this.#ledger, this.#quota);
+    this.#settling = new RestoreReconciliation(ctx, this.#ledger);
+    this.#inspector = new Inspector(
+      ctx,
+      this.#ledger,
+      this.#quota,
+      () => this.#placing.priorityFloors,
+    );
+    this.#sweep = new OrphanSweep(
       ctx,
       (id, chunk) => {
         if (this.jobs.get(id)?.chunks.has(chunk) === true) return "here";
@@ -93,11 +98,11 @@
       },
       (id, header) => this.#onHeader(id, header),
     );
-    this.#tidying = new Tidying(ctx, this.#ledger, (id) => this.#awaits(id));
+    this.#tidying = new CancelledJobCleanup(ctx, this.#ledger, (id) => this.#awaits(id));
     const kept = readRecords(records, ctx.index, this.#commits, this.#quarantine);
     for (const [key, row] of ctx.mirror.rows) {
-      if (key.startsWith(HEADERS) && isHeader(row.value))
-        this.#takeIn(key.slice(HEADERS.length), row.value, kept);
+      if (key.startsWith(JOB_HEADER_PREFIX) && isHeader(row.value))
+        this.#takeIn(key.slice(JOB_HEADER_PREFIX.length), row.value, kept);
     }
     this.#quarantine.loaded();
     for (const [name, { state, pages }] of kept) {
@@ -108,7 +113,7 @@
       this.#commits.keepRaw(page, name, state);
     }
     // Machines returned before our time: nothing of theirs is left.
-    for (const machine of ctx.gone) this.#workers.gone(machine);
+    for (const machine of ctx.goneMachines) this.#workers.gone(machine);
     ctx.log.info(
       { part: ctx.index, token: ctx.token, jobs: this.jobs.size, machines: this.machines },
       "part taken over",
@@ -135,8 +140,8 @@
   }
 
   /** Whether most machines that followed us have fallen silent together. */
-  cutOff(): boolean {
-    return this.#workers.cutOff();
+  mostMachinesSilent(): boolean {
+    return this.#workers.mostMachinesSilent();
   }
 
   protected receive(message: PartMessage): void {
@@ -173,7 +178,7 @@
 
   // ---- jobs ------------------------------------------------------------------------------
 
-  #onHeader(id: string, header: Header): void {
+  #onHeader(id: string, header: JobHeader): void {
     const job = this.jobs.get(id);
     if (job !== undefined) this.#ledger.changes++;
     this.#takeIn(id, header, null);
@@ -194,7 +199,7 @@
   }
 
   /** Adopts the chunks of a job that are ours and that we do not have yet. */
-  #takeIn(id: string, header: Header, records: Map<string, Kept> | null): void {
+  #takeIn(id: string, header: JobHeader, records: Map<string, StoredChunk> | null): void {
     const missing = this.#ledger.missing(id, header);
     if (missing === null) return;
     if (header.status === "cancelled") this.#tidying.add(id);
@@ -234,18 +239,19 @@
     return this.jobs.get(name.slice(0, slash))?.chunks.has(Number(name.slice(slash + 1))) === true;
   }
 
-  #adopt(job: Job, index: number, kept: Kept | null): void {
+  #adopt(job: Job, index: number, kept: StoredChunk | null): void {
     const chunk = this.#ledger.adopt(job, index, kept?.state ?? null);
-    const { limits, rules } = this.ctx;
-    if (!limits.has(job.spec.team) && rules?.yields(job.spec.team) !== true) {
+    const { limits, policy: rules } = this.ctx;
+    if (!limits.has(job.spec.team) && rules?.preemptible(job.spec.team) !== true) {
       // A guest of a package that has been switched off: nobody would ever end its tasks.
-      for (const live of chunk.live.values()) this.#workers.stop(live, job.spec.saveS, "no team");
+      for (const live of chunk.allocations.values())
+        this.#workers.stop(live, job.spec.saveS, "no team");
     }
     if (kept === null) return;
     const [page = null, ...more] = kept.pages;
     chunk.page = page;
-    chunk.more = more;
-    chunk.handover = kept.handover;
+    chunk.extraPages = more;
+    chunk.handoverVersion = kept.handover;
   }
 
   async #fetchMoved(job: string, chunk: number, key: string): Promise<void> {
@@ -302,7 +308,7 @@
   #tick(): void {
     this.#lastTick = this.ctx.clock.now();
     this.#soon(this.ctx.reportMs / 4);
-    const { rules, places } = this.ctx;
+    const { policy: rules, constraints: places } = this.ctx;
     // Allowances end by the clock, also while the store or the other controllers are out of reach:
     // an owner that is no longer sure of its claim may still stop what has no right to run.
     if (rules !== null) withdrawAllowances(rules, this.ctx, this.#ledger, this.#workers);
@@ -310,9 +316,9 @@
       this.#workers.sendOrders();
       return;
     }
-    if (places.matching !== null) {
-      enforce(
-        places.matching,
+    if (places.matcher !== null) {
+      enforceHoldsAndRunLimits(
+        places.matcher,
         this.ctx.clock.now(),
         this.#ledger,
         this.#workers,
@@ -321,7 +327,7 @@
     }
     this.#ledger.follow();
     this.#quota.begin();
-    if (this.ctx.settling()) {
+    if (this.ctx.reconcilingRestore()) {
       this.#workers.sendOrders();
       this.#announcing.run();
       if (!this.#commits.flush()) this.#soon(this.ctx.reportMs / 10);
@@ -344,7 +350,7 @@
     this.#sweep.run();
   }
 
-  #onSettled(outcome: Outcome): void {
+  #onSettled(outcome: CommitResult): void {
     const { batch, revision, rows } = outcome;
     const { mirror, log } = this.ctx;
     this.#commits.settled(outcome);
