--- a/src/part/placing.ts
+++ b/src/part/placement.ts
@@ -1,24 +1,24 @@
-import { compareShares, type Tree } from "../fair/share.js";
+import { compareShares, type ShareTree } from "../fair/share.js";
 import type { Chunk } from "../jobs/chunk.js";
 import type { MachineType } from "../wire/cloud.js";
 import type { JobSpec } from "../wire/jobs.js";
 import {
-  allowed,
-  fitsRoom,
-  give,
+  addResources,
+  fitsResources,
+  kindAllowed,
   type Machine,
-  type Room,
-  unreserved,
+  type Resources,
+  withoutReservations,
   zoneAllowed,
 } from "../workers/machine.js";
-import type { Places } from "../workers/places.js";
+import type { PlacementConstraints } from "../workers/placement-constraints.js";
 import type { PartContext } from "./context.js";
 import { byUrgency, type Job, neglectedOf } from "./job.js";
 import type { Ledger } from "./ledger.js";
 import { Lending } from "./lending.js";
 import type { Quota } from "./quota.js";
-import { holdsOf } from "./short.js";
-import { usable } from "./usable.js";
+import { priorityFloors } from "./quota-shortage.js";
+import { isUsable } from "./usable-machine.js";
 
 /** What one pass over the waiting jobs works with. */
 export interface Pass {
@@ -27,12 +27,12 @@
   /** The machines that take tasks. */
   machines: Machine[];
   /** All teams' use, in all parts. */
-  tree: Tree;
+  tree: ShareTree;
   guaranteed: ReadonlySet<string>;
 }
 
 export function beginPass(ctx: PartContext, ledger: Ledger): Pass {
-  const tree = ctx.newTree();
+  const tree = ctx.newShareTree();
   for (const [part, summary] of ctx.summaries.all()) {
     if (part === ctx.index) continue;
     for (const [team, [cpus, gpus]] of Object.entries(summary.use)) {
@@ -43,19 +43,19 @@
   return {
     now: ctx.clock.now(),
     types: ctx.types(),
-    machines: [...ledger.machines.values()].filter((machine) => usable(machine, ctx)),
+    machines: [...ledger.machines.values()].filter((machine) => isUsable(machine, ctx)),
     tree,
     guaranteed: ctx.guaranteed(),
   };
 }
 
 /** Gives waiting tasks to machines that have room: the team with the lowest share first. */
-export class Placing {
+export class Placement {
   /** Shapes of tasks that found no machine in this pass: room only shrinks while it lasts. */
   readonly #hopeless = new Set<string>();
   readonly #lending: Lending;
   /** By team, below which priority jobs that save started nothing in the last pass. */
-  holds: ReadonlyMap<string, number> = new Map();
+  priorityFloors: ReadonlyMap<string, number> = new Map();
   #last: { job: Job; machine: Machine } | null = null;
 
   constructor(
@@ -75,7 +75,7 @@
     const queues = new Map<string, Job[]>();
     for (const job of this.ledger.jobs.values()) {
       if (job.notBefore > now || !job.wanted || job.pending === 0) continue;
-      if (this.ctx.places.idle(job.id, job.spec)) continue;
+      if (this.ctx.constraints.cannotStart(job.id, job.spec)) continue;
       const queue = queues.get(job.spec.team);
       if (queue === undefined) queues.set(job.spec.team, [job]);
       else queue.push(job);
@@ -86,8 +86,8 @@
         if (until < now || job === undefined || job.pending === 0) machine.reserved.delete(id);
       }
     }
-    const timely = this.ctx.timely();
-    const { rules } = this.ctx;
+    const timely = this.ctx.onTime();
+    const { policy: rules } = this.ctx;
     const neglected = neglectedOf(this.ledger.jobs.values(), now, this.ctx.leaseMs);
     const order = (queue: Job[]): void => {
       queue.sort((a, b) => {
@@ -96,8 +96,8 @@
       });
     };
     for (const queue of queues.values()) order(queue);
-    const holds = holdsOf(queues, timely, this.quota);
-    this.holds = holds;
+    const holds = priorityFloors(queues, timely, this.quota);
+    this.priorityFloors = holds;
     const blocked: Job[] = [];
     while (queues.size > 0) {
       // The lowest share starts first.
@@ -107,7 +107,7 @@
       let behind = true;
       for (const name of queues.keys()) {
         // Who yields comes when nobody else has anything left that fits.
-        const yields = rules?.yields(name) === true;
+        const yields = rules?.preemptible(name) === true;
         if (yields && !behind) continue;
         if (behind && !yields) team = "";
         behind = yields;
@@ -117,7 +117,7 @@
         const own = first ? [] : tree.shares(name);
         // Below their guarantees all shares are zero: then the one with the least of it.
         const less = team === "" ? -1 : compareShares(own, shares);
-        const full = first ? Math.min(1, tree.filled(name)) : tree.filled(name);
+        const full = first ? Math.min(1, tree.guaranteeUse(name)) : tree.guaranteeUse(name);
         if (less < 0 || (less === 0 && full < filled)) {
           team = name;
           shares = own;
@@ -137,7 +137,7 @@
       }
       if (job.pending > 0 && !held) {
         blocked.push(job);
-        if (!this.ctx.lentTo(team) && !this.quota.short.has(team)) this.#lending.missedAt = now;
+        if (!this.ctx.isBorrower(team) && !this.quota.short.has(team)) this.#lending.missedAt = now;
       }
       queue.shift();
       if (queue.length === 0) queues.delete(team);
@@ -153,7 +153,7 @@
   /** All waiting tasks of a gang, or none. */
   #gang(job: Job, pass: Pass): boolean {
     // The former attempt has to be over on all machines before all start once more.
-    if (job.live) return false;
+    if (job.hasAllocations) return false;
     const hosts = this.#gangHosts(job, pass);
     if (hosts === null) return false;
     for (const chunk of job.chunks.values()) {
@@ -170,23 +170,24 @@
     const { machines, types } = pass;
     const { spec, pending: count } = job;
     if (count === 0 || !this.quota.fits(spec, count)) return null;
-    if (this.ctx.lentTo(spec.team) && spec.cpus * count > this.#lending.lends(pass)) return null;
+    if (this.ctx.isBorrower(spec.team) && spec.cpus * count > this.#lending.lends(pass))
+      return null;
     const zones = spec.oneZone ? [...new Set(machines.map(({ zone }) => zone))] : [null];
-    const rankOn = spec.match === undefined ? null : this.ctx.places.ranking(spec);
+    const rankOn = spec.match === undefined ? null : this.ctx.constraints.rankerFor(spec);
     const preferred = rankOn === null ? machines : ranked(machines, types, rankOn);
     for (const zone of zones) {
       const hosts: Machine[] = [];
       const perZone = new Map<string, number>();
       for (const machine of preferred) {
-        if (!allowed(spec, machine) || (zone !== null && machine.zone !== zone)) continue;
-        const room = { ...unreserved(machine.roomIn(types), machine, job.id) };
+        if (!kindAllowed(spec, machine) || (zone !== null && machine.zone !== zone)) continue;
+        const room = { ...withoutReservations(machine.freeResourcesIn(types), machine, job.id) };
         while (
           hosts.length < count &&
-          fitsRoom(room, spec) &&
+          fitsResources(room, spec) &&
           (rankOn === null || rankOn(machine, room) !== null) &&
           zoneAllowed(spec, machine.zone, perZone)
         ) {
-          give(room, spec, -1);
+          addResources(room, spec, -1);
           hosts.push(machine);
           perZone.set(machine.zone, (perZone.get(machine.zone) ?? 0) + 1);
         }
@@ -200,7 +201,7 @@
   #zones(job: Job): Map<string, number> {
     const zones = new Map<string, number>();
     for (const chunk of job.chunks.values()) {
-      for (const live of chunk.live.values()) {
+      for (const live of chunk.allocations.values()) {
         const zone = this.ledger.machines.get(live.machine)?.zone ?? "";
         zones.set(zone, (zones.get(zone) ?? 0) + 1);
       }
@@ -211,12 +212,12 @@
   #one(job: Job, pass: Pass): boolean {
     const { spec } = job;
     if (!this.quota.fits(spec)) return false;
-    const lent = this.ctx.lentTo(spec.team);
+    const lent = this.ctx.isBorrower(spec.team);
     if (lent && spec.cpus > this.#lending.lends(pass)) return false;
     // Its tasks may be placed only so many at a time.
     if (spec.match !== undefined && job.pending === 0) return false;
     // A job that keeps failing is tried with one task at a time.
-    if (job.failures > 1 && job.live) return false;
+    if (job.failures > 1 && job.hasAllocations) return false;
     const machine = this.#again(job, pass) ?? this.#best(job, pass);
     if (machine === null) return false;
     for (const chunk of job.chunks.values()) {
@@ -236,16 +237,20 @@
     const { spec } = job;
     if (this.#last?.job !== job || spec.oneZone || spec.spread) return null;
     // What changes with a machine's room has to be asked anew of all machines.
-    if (spec.match !== undefined && this.ctx.places.like(spec) === null) return null;
+    if (spec.match !== undefined && this.ctx.constraints.equivalenceKey(spec) === null) return null;
     const { machine } = this.#last;
-    const room = unreserved(machine.room(types.get(machine.type)), machine, job.id);
-    return fitsRoom(room, spec) ? machine : null;
+    const room = withoutReservations(
+      machine.freeResources(types.get(machine.type)),
+      machine,
+      job.id,
+    );
+    return fitsResources(room, spec) ? machine : null;
   }
 
   #best(job: Job, pass: Pass): Machine | null {
     const { spec } = job;
     const { machines, guaranteed } = pass;
-    const like = this.ctx.places.like(spec);
+    const like = this.ctx.constraints.equivalenceKey(spec);
     const shape = shapeOf(spec, like);
     const plain = like !== null && !spec.oneZone && !spec.spread && job.failures === 0;
     if (plain && this.#hopeless.has(shape)) {
@@ -261,16 +266,16 @@
     const { spec } = job;
     const size = sizeOf(spec);
     const zones = spec.oneZone || spec.spread ? this.#zones(job) : null;
-    const rankOn = spec.match === undefined ? null : this.ctx.places.ranking(spec);
+    const rankOn = spec.match === undefined ? null : this.ctx.constraints.rankerFor(spec);
     let best: Machine | null = null;
     let bestCost = Number.POSITIVE_INFINITY;
     let bestRank = Number.NEGATIVE_INFINITY;
     for (const machine of machines) {
-      const free = machine.roomIn(types);
-      if (!fitsRoom(free, size)) continue;
-      if (!allowed(spec, machine) || machine.failedJobs.has(job.id)) continue;
-      const room = unreserved(free, machine, job.id);
-      if (room !== free && !fitsRoom(room, size)) continue;
+      const free = machine.freeResourcesIn(types);
+      if (!fitsResources(free, size)) continue;
+      if (!kindAllowed(spec, machine) || machine.failedJobs.has(job.id)) continue;
+      const room = withoutReservations(free, machine, job.id);
+      if (room !== free && !fitsResources(room, size)) continue;
       if (zones !== null && !zoneAllowed(spec, machine.zone, zones)) continue;
       const cost = this.#cost(job, machine, room, entitled, now);
       if (rankOn !== null) {
@@ -296,7 +301,7 @@
    * The fullest cheap machine that has the image: keeps others free, to be used whole or returned,
    * the dear ones first.
    */
-  #cost(job: Job, machine: Machine, room: Room, entitled: boolean, now: number): number {
+  #cost(job: Job, machine: Machine, room: Resources, entitled: boolean, now: number): number {
     const { image } = job.spec;
     return (
       room.cpus +
@@ -313,11 +318,11 @@
 function ranked(
   machines: readonly Machine[],
   types: Pass["types"],
-  rankOn: ReturnType<Places["ranking"]>,
+  rankOn: ReturnType<PlacementConstraints["rankerFor"]>,
 ): Machine[] {
   return machines
     .map((machine) => {
-      const rank = rankOn(machine, machine.roomIn(types)) ?? Number.NEGATIVE_INFINITY;
+      const rank = rankOn(machine, machine.freeResourcesIn(types)) ?? Number.NEGATIVE_INFINITY;
       return { machine, rank };
     })
     .sort((a, b) => (a.rank === b.rank ? 0 : b.rank - a.rank))
@@ -325,7 +330,7 @@
 }
 
 /** Always of the same form, unlike jobs, some of which have expressions: for the innermost loops. */
-const sizeOf = ({ cpus, gpus, memGb }: JobSpec): Room => ({ cpus, gpus, memGb });
+const sizeOf = ({ cpus, gpus, memGb }: JobSpec): Resources => ({ cpus, gpus, memGb });
 
 const shapeOf = ({ cpus, gpus, memGb, spot, types, zone }: JobSpec, like: string | null): string =>
   `${cpus}/${gpus}/${memGb}/${spot}/${types?.join() ?? ""}/${zone ?? ""}/${like}`;
--- a/src/part/preempting.ts
+++ b/src/part/preemption.ts
@@ -1,27 +1,33 @@
-import { type Asker, chooseVictims, mayConcern, type Pick, type Victim } from "../fair/preempt.js";
-import { add } from "../fair/share.js";
-import type { Live } from "../jobs/chunk.js";
+import { addAmounts } from "../fair/share.js";
+import {
+  canPreemptFrom,
+  chooseVictims,
+  type Preemptor,
+  type SelectedVictim,
+  type Victim,
+} from "../fair/victim-selection.js";
+import type { Allocation } from "../jobs/chunk.js";
 import type { JobSpec } from "../wire/jobs.js";
 import {
-  allowed,
-  fitsRoom,
-  give,
+  addResources,
+  fitsResources,
+  kindAllowed,
   type Machine,
-  type Room,
-  unreserved,
+  type Resources,
+  withoutReservations,
 } from "../workers/machine.js";
 import type { PartContext } from "./context.js";
 import { type Job, rankOf } from "./job.js";
 import type { Ledger } from "./ledger.js";
 import { floorOf, lentUse } from "./lending.js";
-import type { Pass } from "./placing.js";
+import type { Pass } from "./placement.js";
 import type { Quota } from "./quota.js";
-import { type Missing, missingQuota } from "./short.js";
+import { type QuotaShortage, quotaShortages } from "./quota-shortage.js";
 import type { Workers } from "./workers.js";
 
 /** A task that may be stopped, or the tasks of a gang, which count whole (DESIGN). */
 interface Candidate extends Victim {
-  tasks: { live: Live; machine: Machine }[];
+  tasks: { live: Allocation; machine: Machine }[];
   spec: JobSpec;
 }
 
@@ -30,9 +36,9 @@
 const MOST_ASKERS = 16;
 
 /** Makes room for jobs that have a right to it, by the rules of KEP-1714. */
-export class Preempting {
+export class Preemption {
   /** Room that is about to be free, and what this pass has given away of it. */
-  #rooms = new Map<Machine, Room>();
+  #rooms = new Map<Machine, Resources>();
   #candidates = new Map<string, Candidate>();
   #byMachine = new Map<Machine, Candidate[]>();
   #at = Number.NEGATIVE_INFINITY;
@@ -56,21 +62,21 @@
     // would overshoot, and the next moment the other way round.
     let even = this.ctx.evenOut && now - this.#evenedAt > this.ctx.leaseMs;
     // What is within a guarantee does not wait; anything else gives room a chance to turn up.
-    const { rules } = this.ctx;
+    const { policy: rules } = this.ctx;
     // Those who yield make room without delay, and never ask for any.
-    const prompt = rules !== null && this.#any(machines, (spec) => rules.yields(spec.team));
+    const prompt = rules !== null && this.#any(machines, (spec) => rules.preemptible(spec.team));
     // Lent room that costs a save to have back: a report later, if none has turned up until then.
     const lent =
       this.#beyondFloor(pass) > 0 && this.#any(machines, (spec) => this.#givesBack(spec));
     const askers = blocked.filter(
       (job) =>
-        rules?.yields(job.spec.team) !== true &&
+        rules?.preemptible(job.spec.team) !== true &&
         (prompt ||
           guaranteed.has(job.id) ||
           now - job.waitingSince >= (lent ? this.ctx.reportMs : this.ctx.leaseMs)),
     );
-    const timely = this.ctx.timely();
-    const missing = missingQuota(blocked, timely, this);
+    const timely = this.ctx.onTime();
+    const missing = quotaShortages(blocked, timely, this);
     if (askers.length === 0 && missing.size === 0) return;
     this.#collect(pass);
     this.#freeQuota(missing, pass);
@@ -89,18 +95,18 @@
       const waited = now - job.waitingSince - this.ctx.leaseMs;
       const early = waited < 0 && now - job.waitingSince < this.ctx.reportMs;
       const patience = early && prompt ? -1 : Math.max(0, waited);
-      const asker: Asker = {
+      const asker: Preemptor = {
         team: spec.team,
         rank,
         size: { cpus: spec.cpus * together, gpus: spec.gpus * together },
-        entitled,
-        borrower: this.ctx.lentTo(spec.team),
-        patience,
+        withinGuarantee: entitled,
+        borrower: this.ctx.isBorrower(spec.team),
+        maxLoss: patience,
         // Nothing has a loss below zero.
-        evenPatience: even && waited >= 0 ? waited / this.ctx.patience : -1,
+        maxFairLoss: even && waited >= 0 ? waited / this.ctx.patience : -1,
       };
       // Another job like it, with the same rights, has just found nothing.
-      const answers = this.ctx.places.like(spec);
+      const answers = this.ctx.constraints.equivalenceKey(spec);
       const like =
         entitled || waited < 0
           ? `${entitled}/${spec.team}/${rank}/${spec.cpus}/${spec.memGb}/${spec.spot}/${answers ?? job.id}`
@@ -117,13 +123,13 @@
         for (const { victim, reason } of found.picks) {
           if (reason === "fair" || reason === "greedy") {
             even = false;
-            asker.evenPatience = -1;
+            asker.maxFairLoss = -1;
             this.#evenedAt = now;
           }
           this.#stop(this.#candidates.get(victim.id)!, reason, job, pass);
         }
         for (const machine of found.hosts) {
-          give(this.#rooms.get(machine)!, spec, -1);
+          addResources(this.#rooms.get(machine)!, spec, -1);
           const kept = machine.reserved.get(job.id);
           if (kept !== undefined) kept.tasks++;
           else machine.reserved.set(job.id, { tasks: 1, spec, until: now + this.ctx.leaseMs });
@@ -136,14 +142,14 @@
 
   #any(machines: readonly Machine[], of: (spec: JobSpec) => boolean): boolean {
     return machines.some((machine) => {
-      for (const { chunk } of machine.live.values()) if (of(chunk.spec)) return true;
+      for (const { chunk } of machine.allocations.values()) if (of(chunk.spec)) return true;
       return false;
     });
   }
 
   /** Whether stopping a task gives lent room back and costs only its save. */
   #givesBack({ team, checkpointS }: JobSpec): boolean {
-    return checkpointS > 0 && this.ctx.lentTo(team);
+    return checkpointS > 0 && this.ctx.isBorrower(team);
   }
 
   /**
@@ -151,7 +157,7 @@
    * own make room, those of lower priority that save when they are stopped. First those that have
    * not begun, then those that have run longest, whose start has been of use.
    */
-  #freeQuota(missing: ReadonlyMap<string, Missing>, pass: Pass): void {
+  #freeQuota(missing: ReadonlyMap<string, QuotaShortage>, pass: Pass): void {
     const begun = ({ tasks }: Candidate): number => {
       const { live } = tasks[0]!;
       return live.running ? live.since : Number.NEGATIVE_INFINITY;
@@ -176,21 +182,21 @@
 
   #collect(pass: Pass): void {
     const { machines, types, now } = pass;
-    const { rules, index } = this.ctx;
+    const { policy: rules, index } = this.ctx;
     let beyond = this.#beyondFloor(pass);
     this.#rooms = new Map();
     this.#candidates = new Map();
     this.#byMachine = new Map();
     for (const machine of machines) {
-      const room = { ...machine.room(types.get(machine.type)) };
+      const room = { ...machine.freeResources(types.get(machine.type)) };
       const here: Candidate[] = [];
-      for (const live of machine.live.values()) {
+      for (const live of machine.allocations.values()) {
         const { spec } = live.chunk;
-        if (live.stop !== null) {
-          give(room, spec, 1);
+        if (live.stopRequest !== null) {
+          addResources(room, spec, 1);
           continue;
         }
-        if (live.seenAt === null) continue;
+        if (live.firstReportedAt === null) continue;
         const kept =
           spec.checkpointS > 0 ? (spec.saveS + spec.checkpointS) * 1000 : Number.POSITIVE_INFINITY;
         // Stopping costs more than the work: it has to be started, and its image fetched, anew.
@@ -201,19 +207,20 @@
           const { team, rank } = spec;
           const size = { cpus: 0, gpus: 0 };
           candidate = { id, team, rank, size, loss: 0, tasks: [], spec };
-          if (rules?.yields(team) === true) candidate.yields = rules.worth(team, index);
+          if (rules?.preemptible(team) === true)
+            candidate.preemptionValue = rules.preemptionValue(team, index);
           if (beyond > 0 && this.#givesBack(spec)) {
             candidate.lent = true;
             beyond -= spec.cpus;
           }
           this.#candidates.set(id, candidate);
         }
-        candidate.size = add(candidate.size, spec);
+        candidate.size = addAmounts(candidate.size, spec);
         candidate.loss += loss;
         candidate.tasks.push({ live, machine });
         if (!here.includes(candidate)) here.push(candidate);
       }
-      this.#rooms.set(machine, unreserved(room, machine, null));
+      this.#rooms.set(machine, withoutReservations(room, machine, null));
       this.#byMachine.set(machine, here);
     }
   }
@@ -225,31 +232,36 @@
    */
   #onOne(
     job: Job,
-    asker: Asker,
+    asker: Preemptor,
     { tree, machines }: Pass,
-  ): { hosts: Machine[]; picks: Pick[] } | null {
+  ): { hosts: Machine[]; picks: SelectedVictim[] } | null {
     const { spec } = job;
     const concerned = new Map<string, boolean>();
-    const concerns = ({ team, rank, yields, lent = false }: Candidate): boolean => {
+    const concerns = ({
+      team,
+      rank,
+      preemptionValue: yields,
+      lent = false,
+    }: Candidate): boolean => {
       if (yields !== undefined) return true;
       if (team === asker.team) return rank < asker.rank;
       const key = `${lent}/${team}`;
       let known = concerned.get(key);
       if (known === undefined) {
-        known = mayConcern(tree, asker, team, lent);
+        known = canPreemptFrom(tree, asker, team, lent);
         concerned.set(key, known);
       }
       return known;
     };
-    let best: { hosts: Machine[]; picks: Pick[] } | null = null;
+    let best: { hosts: Machine[]; picks: SelectedVictim[] } | null = null;
     let bestCost: number[] = [];
-    const { places } = this.ctx;
+    const { constraints: places } = this.ctx;
     // Nothing is stopped for room that the job's requirements, as they will be then, rule out.
-    const takes = (machine: Machine, room: Room): boolean =>
-      fitsRoom(room, spec) &&
+    const takes = (machine: Machine, room: Resources): boolean =>
+      fitsResources(room, spec) &&
       (spec.match === undefined || places.rank(spec, machine, room) !== null);
     for (const machine of machines) {
-      if (!allowed(spec, machine) || machine.failedJobs.has(job.id)) continue;
+      if (!kindAllowed(spec, machine) || machine.failedJobs.has(job.id)) continue;
       const room = this.#rooms.get(machine)!;
       if (takes(machine, room)) return { hosts: [machine], picks: [] };
       const here = this.#byMachine.get(machine)!.filter(concerns);
@@ -257,12 +269,16 @@
       const after = { ...room };
       const freed = (victim: Victim, sign: 1 | -1): void => {
         for (const task of this.#candidates.get(victim.id)!.tasks) {
-          if (task.machine === machine) give(after, task.live.chunk.spec, sign);
+          if (task.machine === machine) addResources(after, task.live.chunk.spec, sign);
         }
       };
       for (const victim of here) freed(victim, 1);
-      if (!fitsRoom(after, spec)) continue;
-      if (spec.match !== undefined && places.like(spec) !== null && !takes(machine, after))
+      if (!fitsResources(after, spec)) continue;
+      if (
+        spec.match !== undefined &&
+        places.equivalenceKey(spec) !== null &&
+        !takes(machine, after)
+      )
         continue;
       const picks = chooseVictims(
         tree,
@@ -287,11 +303,11 @@
   }
 
   /** Lower is better: the order of KEP-1714 for what has to be stopped together. */
-  #cost(picks: readonly Pick[], tree: Pass["tree"]): number[] {
+  #cost(picks: readonly SelectedVictim[], tree: Pass["tree"]): number[] {
     const greedy = picks.some(({ reason }) => reason === "greedy") ? 1 : 0;
     const others = picks.some(({ reason }) => reason !== "yield") ? 1 : 0;
     const own = picks.some(({ victim }) => victim.lent !== true) ? 1 : 0;
-    const worth = picks.reduce((sum, { victim }) => sum + (victim.yields ?? 0), 0);
+    const worth = picks.reduce((sum, { victim }) => sum + (victim.preemptionValue ?? 0), 0);
     const share = Math.min(...picks.map(({ victim }) => tree.share(victim.team)));
     const rank = Math.max(...picks.map(({ victim }) => victim.rank));
     const cpus = picks.reduce((sum, { victim }) => sum + victim.size.cpus, 0);
@@ -300,14 +316,18 @@
   }
 
   /** For a gang, whose tasks may be on any machines. */
-  #onMany(job: Job, asker: Asker, pass: Pass): { hosts: Machine[]; picks: Pick[] } | null {
+  #onMany(
+    job: Job,
+    asker: Preemptor,
+    pass: Pass,
+  ): { hosts: Machine[]; picks: SelectedVictim[] } | null {
     const { spec } = job;
     const count = Math.round(asker.size.cpus / Math.max(spec.cpus, 1e-9)) || job.pending;
-    const { places } = this.ctx;
-    const hosts = pass.machines.filter((machine) => allowed(spec, machine));
+    const { constraints: places } = this.ctx;
+    const hosts = pass.machines.filter((machine) => kindAllowed(spec, machine));
     const place = (stopped: ReadonlySet<string>): Machine[] | null => {
-      const freed = new Map<Machine, Room>();
-      const roomOf = (machine: Machine): Room => {
+      const freed = new Map<Machine, Resources>();
+      const roomOf = (machine: Machine): Resources => {
         let room = freed.get(machine);
         if (room === undefined) {
           room = { ...this.#rooms.get(machine)! };
@@ -317,16 +337,16 @@
       };
       for (const id of stopped) {
         const candidate = this.#candidates.get(id)!;
-        for (const { machine } of candidate.tasks) give(roomOf(machine), candidate.spec, 1);
+        for (const { machine } of candidate.tasks) addResources(roomOf(machine), candidate.spec, 1);
       }
       const chosen: Machine[] = [];
       for (const machine of hosts) {
         while (
           chosen.length < count &&
-          fitsRoom(roomOf(machine), spec) &&
+          fitsResources(roomOf(machine), spec) &&
           (spec.match === undefined || places.rank(spec, machine, roomOf(machine)) !== null)
         ) {
-          give(roomOf(machine), spec, -1);
+          addResources(roomOf(machine), spec, -1);
           chosen.push(machine);
         }
         if (chosen.length === count) return chosen;
@@ -345,7 +365,12 @@
   }
 
   /** Stops for a job of this part, or for one of the same team elsewhere. */
-  #stop(candidate: Candidate, reason: Pick["reason"], job: Job | null, { tree }: Pass): void {
+  #stop(
+    candidate: Candidate,
+    reason: SelectedVictim["reason"],
+    job: Job | null,
+    { tree }: Pass,
+  ): void {
     const { id, spec, team, size, tasks } = candidate;
     this.#candidates.delete(id);
     // Nobody's task queues behind the save of one that yields.
@@ -353,7 +378,7 @@
     const grace = saves ? spec.saveS + this.ctx.reportMs / 1000 : 0;
     for (const { live, machine } of tasks) {
       this.workers.stop(live, grace, reason);
-      give(this.#rooms.get(machine)!, spec, 1);
+      addResources(this.#rooms.get(machine)!, spec, 1);
       const here = this.#byMachine.get(machine)!;
       const at = here.indexOf(candidate);
       if (at >= 0) here.splice(at, 1);
--- a/src/part/short.ts
+++ b/src/part/quota-shortage.ts
@@ -4,7 +4,7 @@
 import type { Ledger } from "./ledger.js";
 import type { Quota } from "./quota.js";
 
-export interface Missing {
+export interface QuotaShortage {
   cpus: number;
   rank: number;
   /** Null when it is another part's. */
@@ -14,12 +14,12 @@
 /**
  * By team: below this priority, jobs that save start nothing in this pass.
  * Where a team's limit is what its jobs wait for, those of lower priority that save are stopped for
- * the others (`Preempting`); what that frees is not theirs to take. The quota that is left over may
+ * the others (`Preemption`); what that frees is not theirs to take. The quota that is left over may
  * be less than a task of the higher priority takes, or another part's slice has not grown yet: in
  * between the same tasks started again and were stopped again, 535 times on one recorded day of 40
  * machines, 350 of them of one job.
  */
-export function holdsOf(
+export function priorityFloors(
   queues: ReadonlyMap<string, Job[]>,
   timely: ReadonlySet<string>,
   quota: Quota,
@@ -40,12 +40,12 @@
 }
 
 /** By team, the CPUs that jobs lack for want of quota, with the priority that lacks them. */
-export function missingQuota(
+export function quotaShortages(
   blocked: readonly Job[],
   timely: ReadonlySet<string>,
   { ctx, ledger, quota }: { ctx: PartContext; ledger: Ledger; quota: Quota },
-): Map<string, Missing> {
-  const missing = new Map<string, Missing>();
+): Map<string, QuotaShortage> {
+  const missing = new Map<string, QuotaShortage>();
   for (const job of blocked) {
     const { spec } = job;
     // What cannot be in time any more has no need to hurry.
@@ -71,7 +71,7 @@
   }
   // What has been stopped already will be free in a moment.
   for (const machine of missing.size === 0 ? [] : ledger.machines.values()) {
-    for (const { stop, chunk } of machine.live.values()) {
+    for (const { stopRequest: stop, chunk } of machine.allocations.values()) {
       const wanted = stop === null ? undefined : missing.get(chunk.spec.team);
       if (wanted !== undefined) wanted.cpus -= chunk.spec.cpus;
     }
--- a/src/part/quota.ts
+++ b/src/part/quota.ts
@@ -1,22 +1,22 @@
-import { type Amounts, add, EPSILON, minus, within } from "../fair/share.js";
-import { bounded, NO_LIMIT } from "../quota/limits.js";
+import { type Amounts, addAmounts, EPSILON, fitsWithin, subtractAmounts } from "../fair/share.js";
+import { isLimited, NO_LIMIT } from "../quota/limits.js";
 import {
-  freeOf,
   isSliceRecord,
+  minAmounts,
   readSlices,
-  reslice,
+  resizeSlice,
   type SliceRecord,
   sliceOf,
-  smaller,
-  target,
+  targetSlice,
+  unassignedAmounts,
 } from "../quota/slices.js";
 import { keys } from "../state/keys.js";
 import { type JobSpec, PRIORITIES } from "../wire/jobs.js";
-import { fitsRoom, type Machine } from "../workers/machine.js";
+import { fitsResources, type Machine } from "../workers/machine.js";
 import type { PartContext } from "./context.js";
 import { type Demand, type Ledger, noDemand, ZERO } from "./ledger.js";
-import { UnusedSlices } from "./unused.js";
-import { usable } from "./usable.js";
+import { UnusedSlices } from "./unused-slices.js";
+import { isUsable } from "./usable-machine.js";
 
 /**
  * What tasks of a part use is lowered for others once its slice is this much above the fair one.
@@ -136,8 +136,8 @@
       const own = mine.get(team) ?? noDemand();
       const rest = pressing.get(team) ?? noDemand();
       const slice = {
-        cpus: target(limit.cpus, own.cpus, rest.cpus, parts),
-        gpus: target(limit.gpus, own.gpus, rest.gpus, parts),
+        cpus: targetSlice(limit.cpus, own.cpus, rest.cpus, parts),
+        gpus: targetSlice(limit.gpus, own.gpus, rest.gpus, parts),
       };
       const holding = this.#slices.get(team) ?? ZERO;
       const use = this.ledger.use.get(team) ?? ZERO;
@@ -159,7 +159,8 @@
         over: this.#over(team, limit),
         own,
         rest,
-        ahead: Math.ceil((target(limit.cpus, own.cpus, all.cpus, parts) * SLACK) / step) * step,
+        ahead:
+          Math.ceil((targetSlice(limit.cpus, own.cpus, all.cpus, parts) * SLACK) / step) * step,
       });
     }
   }
@@ -173,7 +174,7 @@
     const limit = this.ctx.limits.get(team);
     if (fair === undefined || limit === undefined || !fair.elsewhere) return 0;
     const higher = fair.rest.cpus.map((cpus, i) => (i > rank ? cpus : 0));
-    const most = target(limit.cpus, fair.own.cpus, higher, this.ctx.parts);
+    const most = targetSlice(limit.cpus, fair.own.cpus, higher, this.ctx.parts);
     return (this.ledger.use.get(team) ?? ZERO).cpus - Math.ceil(most);
   }
 
@@ -197,19 +198,19 @@
 
   fits(spec: JobSpec, tasks = 1): boolean {
     const size = { cpus: spec.cpus * tasks, gpus: spec.gpus * tasks };
-    const use = add(this.ledger.use.get(spec.team) ?? ZERO, size);
+    const use = addAmounts(this.ledger.use.get(spec.team) ?? ZERO, size);
     // An allowance is this part's alone, so it needs no slice.
-    const allowance = this.ctx.rules?.allowance(spec.team, this.ctx.index);
-    if (allowance != null) return within(use, allowance.start);
+    const allowance = this.ctx.policy?.allowance(spec.team, this.ctx.index);
+    if (allowance != null) return fitsWithin(use, allowance.startLimit);
     const slice = this.#slices.get(spec.team) ?? ZERO;
     const fair = this.#fair.get(spec.team);
     // Nobody is short of what there is not: nothing is stopped to make room under a lowered limit.
     if (fair?.over === true) return false;
     // Else what ends here would be replaced before the slice is lowered, again and again.
-    const most = fair?.elsewhere === true ? smaller(slice, fair.most) : slice;
-    if (within(use, most)) return true;
+    const most = fair?.elsewhere === true ? minAmounts(slice, fair.most) : slice;
+    if (fitsWithin(use, most)) return true;
     if (!this.short.has(spec.team) && !this.#waitsForMachines(spec)) {
-      const { cpus, gpus } = minus(use, slice);
+      const { cpus, gpus } = subtractAmounts(use, slice);
       this.short.set(spec.team, { cpus: Math.max(0, cpus), gpus: Math.max(0, gpus) });
     }
     return false;
@@ -226,7 +227,7 @@
     const shape = `${spec.team}/${spec.cpus}/${spec.gpus}/${spec.memGb}`;
     if (this.#roomless.has(shape)) return true;
     const fits = (machine: Machine): boolean =>
-      usable(machine, ctx) && fitsRoom(machine.roomIn(ctx.types()), spec);
+      isUsable(machine, ctx) && fitsResources(machine.freeResourcesIn(ctx.types()), spec);
     if (ctx.clock.now() < until && ![...ledger.machines.values()].some(fits)) {
       this.#roomless.add(shape);
       return true;
@@ -242,14 +243,14 @@
   changes(): SliceChange[] {
     const changes: SliceChange[] = [];
     for (const [team, limit] of this.ctx.limits) {
-      if (!bounded(limit.cpus) && !bounded(limit.gpus)) continue;
+      if (!isLimited(limit.cpus) && !isLimited(limit.gpus)) continue;
       const { key, version, record, own } = this.#known(team);
       const fair = this.#fair.get(team);
       const short = this.short.get(team) ?? null;
       const use = this.ledger.use.get(team) ?? ZERO;
       let wanted = own ?? use;
       if (own !== null && fair !== undefined && (short !== null || fair.elsewhere)) {
-        const free = freeOf(record, limit);
+        const free = unassignedAmounts(record, limit);
         const one = (resource: keyof Amounts): number =>
           wish(
             {
@@ -272,11 +273,11 @@
           this.#givenUntil.set(team, this.ctx.clock.now() + this.#idle.windowMs);
         }
       }
-      if (own !== null) wanted = this.#bounded(wanted, own, use, freeOf(record, limit));
-      const next = reslice(record, this.ctx.index, wanted, limit);
+      if (own !== null) wanted = this.#bounded(wanted, own, use, unassignedAmounts(record, limit));
+      const next = resizeSlice(record, this.ctx.index, wanted, limit);
       const after = sliceOf(next, this.ctx.index) ?? ZERO;
       // Until the answer is known, only what is ours in either case counts.
-      this.#slices.set(team, held(smaller(own ?? ZERO, after), limit));
+      this.#slices.set(team, held(minAmounts(own ?? ZERO, after), limit));
       const same =
         own !== null &&
         Math.abs(after.cpus - own.cpus) < EPSILON &&
@@ -313,7 +314,7 @@
   /** Limits that nobody changes while serving are never below the slices. */
   #over(team: string, limit: Amounts): boolean {
     if (!this.ctx.configuration.revised) return false;
-    const { cpus, gpus } = freeOf(this.#known(team).record, limit);
+    const { cpus, gpus } = unassignedAmounts(this.#known(team).record, limit);
     return cpus < -EPSILON || gpus < -EPSILON;
   }
 
@@ -340,8 +341,8 @@
 
 /** What tasks may use by a slice: of a resource without a limit, any amount. */
 const held = (slice: Amounts | null, limit: Amounts): Amounts => ({
-  cpus: bounded(limit.cpus) ? (slice?.cpus ?? 0) : NO_LIMIT,
-  gpus: bounded(limit.gpus) ? (slice?.gpus ?? 0) : NO_LIMIT,
+  cpus: isLimited(limit.cpus) ? (slice?.cpus ?? 0) : NO_LIMIT,
+  gpus: isLimited(limit.gpus) ? (slice?.gpus ?? 0) : NO_LIMIT,
 });
 
 /** What a part can give up of one resource without stopping anything. */
@@ -354,7 +355,7 @@
   const surplus = spare.surplus[resource];
   if (surplus <= EPSILON) return spare.idle[resource];
   // What the tasks here that run and wait would need of the limit: nothing of what is left over.
-  const share = target(limit, own[resource], rest[resource], Number.POSITIVE_INFINITY);
+  const share = targetSlice(limit, own[resource], rest[resource], Number.POSITIVE_INFINITY);
   const needed = resource === "cpus" ? Math.floor(share / step) * step : share;
   return Math.max(spare.idle[resource], Math.min(surplus, Math.max(0, slice - needed)));
 }
--- a/src/part/balancing.ts
+++ b/src/part/rebalancing.ts
@@ -1,18 +1,18 @@
-import { EPSILON, within } from "../fair/share.js";
-import { undivided } from "../jobs/header.js";
+import { EPSILON, fitsWithin } from "../fair/share.js";
+import { requiresSinglePart } from "../jobs/job-header.js";
 import type { MachineType } from "../wire/cloud.js";
-import { type Machine, unreserved } from "../workers/machine.js";
+import { type Machine, withoutReservations } from "../workers/machine.js";
 import type { PartContext } from "./context.js";
 import type { Job } from "./job.js";
-import type { Pass } from "./placing.js";
-import { type KindRoom, roomOf, type Summary } from "./summary.js";
+import type { Pass } from "./placement.js";
+import { type KindCapacity, type Summary, totalCapacity } from "./summary.js";
 
 /** Room by kind of machine, as others see it. */
 export function kindsOf(
   machines: Iterable<Machine>,
   types: ReadonlyMap<string, MachineType>,
-): KindRoom[] {
-  const kinds = new Map<string, KindRoom>();
+): KindCapacity[] {
+  const kinds = new Map<string, KindCapacity>();
   for (const machine of machines) {
     const type = types.get(machine.type);
     if (type === undefined) continue;
@@ -23,7 +23,7 @@
       kind = { type: machine.type, zone, spot, capacity: 0, free: 0, most: 0 };
       kinds.set(key, kind);
     }
-    const room = unreserved(machine.room(type), machine, null);
+    const room = withoutReservations(machine.freeResources(type), machine, null);
     const free = Math.max(0, room.cpus);
     kind.capacity += type.cpus;
     kind.free += free;
@@ -36,13 +36,13 @@
 
 interface Other {
   part: number;
-  kinds: KindRoom[];
+  kinds: KindCapacity[];
   waiting: number;
   sent: { cpus: number };
 }
 
 /** Hands waiting chunks on to other parts. */
-export class Balancing {
+export class Rebalancing {
   /** CPUs of chunks given to other parts since their last summary. */
   readonly #sent = new Map<number, { summary: Summary; cpus: number }>();
 
@@ -50,18 +50,18 @@
 
   /** Whether a job may use anything in a part: of teams with allowances, only where they have one. */
   #granted({ spec }: Job): (part: number) => boolean {
-    const { rules } = this.ctx;
+    const { policy: rules } = this.ctx;
     if (rules === null) return () => true;
     return (part) => {
       const allowance = rules.allowance(spec.team, part);
-      return allowance === null || within(spec, allowance.start);
+      return allowance === null || fitsWithin(spec, allowance.startLimit);
     };
   }
 
   #others(): Other[] {
     const others: Other[] = [];
     for (const [part, summary] of this.ctx.summaries.all()) {
-      if (part === this.ctx.index || this.ctx.doubtful(part)) continue;
+      if (part === this.ctx.index || this.ctx.ownerSuspected(part)) continue;
       let sent = this.#sent.get(part);
       if (sent === undefined || sent.summary !== summary) {
         sent = { summary, cpus: 0 };
@@ -85,21 +85,21 @@
     for (const job of blocked) {
       const { spec } = job;
       const allowedParts = spec.zone === null ? null : this.ctx.partsOf(spec.zone);
-      const pinned = undivided(spec);
+      const pinned = requiresSinglePart(spec);
       const idle = [...job.chunks.values()].filter(
-        (chunk) => chunk.live.size === 0 && chunk.pending > 0 && chunk.movingTo === null,
+        (chunk) => chunk.allocations.size === 0 && chunk.pending > 0 && chunk.movingTo === null,
       );
       if (idle.length === 0 || (pinned && idle.length < job.chunks.size)) continue;
-      const usable = (kind: KindRoom): boolean => this.ctx.places.may(spec, kind);
+      const usable = (kind: KindCapacity): boolean => this.ctx.constraints.allows(spec, kind);
       const granted = this.#granted(job);
-      const here = granted(this.ctx.index) ? roomOf(own, usable) : NOWHERE;
+      const here = granted(this.ctx.index) ? totalCapacity(own, usable) : NOWHERE;
       // A job that keeps failing finds no machine here that has not failed it yet, and would find
       // none elsewhere: it once travelled to and fro 146 times, each time counting its failures anew.
       if (job.failures > 0 && here.capacity > 0) continue;
       const rooms = others
         .filter(({ part }) => allowedParts === null || allowedParts.includes(part))
         .filter(({ part }) => granted(part))
-        .map((other) => ({ other, there: roomOf(other.kinds, usable) }))
+        .map((other) => ({ other, there: totalCapacity(other.kinds, usable) }))
         .filter(({ there }) => there.capacity > 0);
       for (const group of pinned ? [idle] : idle.map((chunk) => [chunk])) {
         const cpus = group.reduce((sum, chunk) => sum + chunk.pending * spec.cpus, 0);
--- a/src/part/kept.ts
+++ b/src/part/record-loader.ts
@@ -1,12 +1,12 @@
 import type { ChunkState } from "../jobs/chunk.js";
-import { readPage } from "../jobs/page.js";
+import { readPage } from "../jobs/chunk-page.js";
 import { keys } from "../state/keys.js";
 import type { Row } from "../state/store.js";
-import type { Commits } from "./commits.js";
+import type { Committer } from "./committer.js";
 import type { Quarantine } from "./quarantine.js";
 
 /** What an earlier owner, or the part that a chunk came from, has left of it. */
-export interface Kept {
+export interface StoredChunk {
   state: ChunkState;
   pages: readonly number[];
   handover: number;
@@ -14,7 +14,7 @@
   version: number;
 }
 
-const joined = (a: Kept, b: Kept): Kept => ({
+const joined = (a: StoredChunk, b: StoredChunk): StoredChunk => ({
   ...a,
   state: {
     attempts: Math.max(a.state.attempts, b.state.attempts),
@@ -28,10 +28,10 @@
 export function readRecords(
   records: readonly Row[],
   index: number,
-  commits: Commits,
+  commits: Committer,
   quarantine: Quarantine,
-): Map<string, Kept> {
-  const kept = new Map<string, Kept>();
+): Map<string, StoredChunk> {
+  const kept = new Map<string, StoredChunk>();
   for (const { key, value, version } of records) {
     if (key === keys.fence(index)) {
       commits.known(key, version);
--- a/src/part/settling.ts
+++ b/src/part/restore-reconciliation.ts
@@ -1,6 +1,6 @@
 import { DRIFT } from "../clock.js";
 import { keys } from "../state/keys.js";
-import { parseRestored, restoredOf } from "../state/restored.js";
+import { parseRestoreRecord, restoreStateOf } from "../state/restore-state.js";
 import type { Machine } from "../workers/machine.js";
 import type { PartContext } from "./context.js";
 import type { Ledger } from "./ledger.js";
@@ -16,7 +16,13 @@
  * former cluster that had lost its state service answered its workers for `cancel_s - 1.15 lease_s`
  * more (docs/design.md), and a worker that nobody answers keeps its tasks for a lease.
  */
-export const settleMsOf = ({ lease_s, cancel_s }: { lease_s: number; cancel_s: number }): number =>
+export const restoreReconciliationMs = ({
+  lease_s,
+  cancel_s,
+}: {
+  lease_s: number;
+  cancel_s: number;
+}): number =>
   (Math.max(0, cancel_s - 1.15 * lease_s) + lease_s * (SILENT + 2 * DRIFT)) * 1000 + ANSWER_MS;
 
 /**
@@ -26,7 +32,7 @@
  * waited long enough and sees nothing unknown vouches for its part, under its claim; when all owners
  * have, as they are at one moment, the restore has settled.
  */
-export class Settling {
+export class RestoreReconciliation {
   readonly #since: number;
   #busy = false;
 
@@ -40,7 +46,7 @@
   run(): void {
     if (this.#busy) return;
     const { mirror, index, claim } = this.ctx;
-    const vouched = mirror.rows.get(keys.vouched(index));
+    const vouched = mirror.rows.get(keys.reconciled(index));
     if (vouched?.value !== claim.version) {
       if (this.#clean()) this.#write(() => this.#vouch(vouched?.version ?? 0));
       return;
@@ -52,18 +58,21 @@
   /** Whether nothing runs here that the records do not tell of, and nothing can turn up. */
   #clean(): boolean {
     const now = this.ctx.clock.now();
-    if (now - this.#since < this.ctx.settleMs) return false;
+    if (now - this.#since < this.ctx.restoreReconciliationMs) return false;
     for (const machine of this.ledger.machines.values()) {
       if (this.#unknown(machine, now)) return false;
     }
     // What workers have proved to be done is in the store before anybody relies on it.
     for (const { chunks } of this.ledger.jobs.values()) {
-      for (const chunk of chunks.values()) if (chunk.saved < chunk.version) return false;
+      for (const chunk of chunks.values()) if (chunk.savedVersion < chunk.version) return false;
     }
     return true;
   }
 
-  #unknown({ strays, current, lastSeen }: Machine, now: number): boolean {
+  #unknown(
+    { unknownTasks: strays, hasOurToken: current, lastSeen }: Machine,
+    now: number,
+  ): boolean {
     // One that has only just heard of us has not told us its tasks yet.
     if (strays.length === 0 && current) return false;
     return now - lastSeen <= this.ctx.leaseMs * SILENT;
@@ -75,11 +84,11 @@
     const conditions: { key: string; version: number }[] = [];
     for (let part = 0; part < parts; part++) {
       const claim = mirror.rows.get(keys.claim(part));
-      const vouched = mirror.rows.get(keys.vouched(part));
+      const vouched = mirror.rows.get(keys.reconciled(part));
       if (claim === undefined || vouched?.value !== claim.version) return null;
       conditions.push(
         { key: keys.claim(part), version: claim.version },
-        { key: keys.vouched(part), version: vouched.version },
+        { key: keys.reconciled(part), version: vouched.version },
       );
     }
     return conditions;
@@ -96,7 +105,7 @@
 
   async #vouch(version: number): Promise<void> {
     const { store, index, claim, mirror, log } = this.ctx;
-    const key = keys.vouched(index);
+    const key = keys.reconciled(index);
     const value = claim.version;
     const result = await store.transact([claim, { key, version }], [{ put: key, value }]);
     if (!result.ok) return;
@@ -106,8 +115,8 @@
 
   async #settle(all: { key: string; version: number }[]): Promise<void> {
     const { store, mirror, log } = this.ctx;
-    const { version } = restoredOf(mirror);
-    const record = parseRestored(mirror.rows.get(keys.restored)?.value);
+    const { version } = restoreStateOf(mirror);
+    const record = parseRestoreRecord(mirror.rows.get(keys.restored)?.value);
     if (record === null) return;
     const value = { ...record, state: "settled" };
     const key = keys.restored;
--- a/src/part/stored.ts
+++ b/src/part/summary-truncation.ts
@@ -1,5 +1,5 @@
-import { sizeOf } from "../jobs/page.js";
-import type { Need, Summary } from "./summary.js";
+import { jsonBytes } from "../jobs/chunk-page.js";
+import type { CapacityRequest, Summary } from "./summary.js";
 
 /** A summary as a small value of the store holds it: what it has no room for is left out. */
 interface Cut extends Omit<Summary, "machines"> {
@@ -24,7 +24,7 @@
   const out: T[] = [];
   let left = bytes - 2;
   for (const item of items) {
-    left -= sizeOf(item) + 1;
+    left -= jsonBytes(item) + 1;
     if (left < 0) break;
     out.push(item);
   }
@@ -36,8 +36,8 @@
  * machines, by which the leader knows that they are there, then what is to be returned, what is needed
  * most and what has been idle for longest.
  */
-export function storedSummary(summary: Summary, bytes: number): Summary {
-  if (sizeOf(summary) <= bytes) return summary;
+export function truncatedSummary(summary: Summary, bytes: number): Summary {
+  if (jsonBytes(summary) <= bytes) return summary;
   const { rooms, ...rest } = summary;
   const prefix = prefixOf(summary.machines);
   const ends = summary.machines.map((name) => name.slice(prefix.length));
@@ -51,13 +51,13 @@
     packed: "",
     cut: true,
   };
-  const left = (): number => bytes - sizeOf(out) - 16;
+  const left = (): number => bytes - jsonBytes(out) - 16;
   const byCpus = [...summary.demand].sort((a, b) => b.cpus + b.gpus - a.cpus - a.gpus);
   out.demand = some(byCpus, left());
   out.packed = some(ends, left() - prefix.length).join(" ");
   if (out.packed !== "") out.packed = `${prefix} ${out.packed}`;
   out.retired = some(summary.retired, left() / 2);
-  const most = (need: Need): number => need.count * need.cpus;
+  const most = (need: CapacityRequest): number => need.count * need.cpus;
   out.need = some(
     [...summary.need].sort((a, b) => most(b) - most(a)),
     left(),
--- a/src/part/summary.ts
+++ b/src/part/summary.ts
@@ -1,5 +1,5 @@
 import { isMap } from "../wire/cbor.js";
-import { fullSummary } from "./stored.js";
+import { fullSummary } from "./summary-truncation.js";
 
 /** What a part's owner tells the others: written to the store, and sent when it is urgent. */
 export interface Summary {
@@ -8,11 +8,11 @@
   /** What the tasks of a team at one priority use and wait for. */
   demand: { team: string; rank: number; cpus: number; gpus: number }[];
   /** Waiting tasks by shape, those that their team's limit allows. */
-  need: Need[];
+  need: CapacityRequest[];
   /** Teams whose slice is too small here, with what is missing. */
   short: Record<string, [number, number]>;
   /** The machines that take tasks, by kind. */
-  kinds: KindRoom[];
+  kinds: KindCapacity[];
   /** CPUs of tasks that wait, over all teams. */
   waiting: number;
   /** How long one CPU would work on them, by the estimates of their owners, in seconds. */
@@ -23,7 +23,7 @@
   /** Machines without tasks, with seconds idle. */
   idle: Record<string, number>;
   /** Free room machine by machine, alike ones together; only with a package that asks for it. */
-  rooms?: FreeRoom[];
+  rooms?: FreeCapacity[];
   /** CPUs of waiting tasks that only lack room: within their team's slice, and not yielding. */
   starved?: number;
   token: number;
@@ -34,7 +34,7 @@
 }
 
 /** Machines of one zone with the same free room, and how many there are. */
-export interface FreeRoom {
+export interface FreeCapacity {
   zone: string;
   cpus: number;
   gpus: number;
@@ -42,7 +42,7 @@
   count: number;
 }
 
-export interface KindRoom {
+export interface KindCapacity {
   type: string;
   zone: string;
   spot: boolean;
@@ -52,7 +52,7 @@
   most: number;
 }
 
-export interface Need {
+export interface CapacityRequest {
   cpus: number;
   gpus: number;
   memGb: number;
@@ -120,10 +120,10 @@
 }
 
 /** What machines of the kinds that pass `usable` have, together. */
-export function roomOf(
-  kinds: readonly KindRoom[],
-  usable: (kind: KindRoom) => boolean,
-): Pick<KindRoom, "capacity" | "free" | "most"> {
+export function totalCapacity(
+  kinds: readonly KindCapacity[],
+  usable: (kind: KindCapacity) => boolean,
+): Pick<KindCapacity, "capacity" | "free" | "most"> {
   const sum = { capacity: 0, free: 0, most: 0 };
   for (const kind of kinds) {
     if (!usable(kind)) continue;
--- a/src/part/unused.ts
+++ b/src/part/unused-slices.ts
@@ -1,8 +1,8 @@
 /** How much of the slices of limits stays unused, so that other parts can have it. */
 import type { Clock } from "../clock.js";
 import type { Amounts } from "../fair/share.js";
-import { bounded } from "../quota/limits.js";
-import { smaller } from "../quota/slices.js";
+import { isLimited } from "../quota/limits.js";
+import { minAmounts } from "../quota/slices.js";
 import { ZERO } from "./ledger.js";
 
 /** The least that was unused since a moment, and what the whole window before had unused. */
@@ -37,8 +37,8 @@
       window = { since: now, least: unused, settled: ZERO };
       this.#windows.set(team, window);
     }
-    window.least = smaller(window.least, unused);
-    window.settled = smaller(window.settled, unused);
+    window.least = minAmounts(window.least, unused);
+    window.settled = minAmounts(window.settled, unused);
     if (now - window.since >= this.windowMs) {
       window.settled = window.least;
       window.least = unused;
@@ -50,4 +50,4 @@
 
 /** A resource without a limit has no slices, so nothing of it is unused. */
 const unusedOf = (slice: number, use: number): number =>
-  bounded(slice) ? Math.max(0, slice - use) : 0;
+  isLimited(slice) ? Math.max(0, slice - use) : 0;
--- a/src/part/usable.ts
+++ b/src/part/usable-machine.ts
@@ -3,10 +3,10 @@
 import type { PartContext } from "./context.js";
 
 /** Whether a machine is heard, hears us, is staying, and belongs to this part. */
-export function usable(machine: Machine, ctx: PartContext): boolean {
+export function isUsable(machine: Machine, ctx: PartContext): boolean {
   return (
-    machine.current &&
-    machine.deafSince === null &&
+    machine.hasOurToken &&
+    machine.unreachableSince === null &&
     machine.retired === null &&
     machine.noticeS === null &&
     // One that has missed two reports may be gone.
--- a/src/part/workers.ts
+++ b/src/part/workers.ts
@@ -1,15 +1,15 @@
 import { type Reply, retryLater } from "../http/server.js";
-import type { Live } from "../jobs/chunk.js";
+import type { Allocation } from "../jobs/chunk.js";
 import type { JobSpec } from "../wire/jobs.js";
 import * as wire from "../wire/workers.js";
-import { type Known, weigh } from "../workers/evidence.js";
 import type { Machine } from "../workers/machine.js";
+import { classifyReport, type MachineReportState } from "../workers/report-classification.js";
 import type { PartContext } from "./context.js";
 import type { Job } from "./job.js";
 import type { Found, Ledger } from "./ledger.js";
 
 /** A machine that nothing is known of. */
-const UNKNOWN: Known = { latest: null, current: false, lastSeen: 0 };
+const UNKNOWN: MachineReportState = { latest: null, hasOurToken: false, lastSeen: 0 };
 
 /** A report whose answer waits for a commit. */
 interface Held {
@@ -54,27 +54,27 @@
     const machine = this.ledger.machines.get(id);
     if (machine === undefined) return;
     this.ledger.machines.delete(id);
-    for (const live of [...machine.live.values()]) this.#release(live, false);
+    for (const live of [...machine.allocations.values()]) this.#release(live, false);
     const { log, index } = this.ctx;
-    log.info({ part: index, machine: id, tasks: machine.live.size }, "machine gone");
+    log.info({ part: index, machine: id, tasks: machine.allocations.size }, "machine gone");
   }
 
   cancel(job: Job): void {
     for (const chunk of job.chunks.values()) {
-      for (const live of [...chunk.live.values()]) {
+      for (const live of [...chunk.allocations.values()]) {
         // Placed by us and never told to the worker: it cannot have started. A loaded one may.
-        if (live.version > 0 && live.told === null) this.#release(live, false);
+        if (live.version > 0 && live.startSentIn === null) this.#release(live, false);
         else this.stop(live, 0, "cancelled");
       }
     }
   }
 
-  stop(live: Live, graceS: number, reason: string): void {
-    if (live.stop !== null && live.stop.graceS <= graceS) return;
-    live.stop = { graceS, reason, askedAt: this.ctx.clock.now() };
+  stop(live: Allocation, graceS: number, reason: string): void {
+    if (live.stopRequest !== null && live.stopRequest.graceS <= graceS) return;
+    live.stopRequest = { graceS, reason, askedAt: this.ctx.clock.now() };
     const machine = this.ledger.machines.get(live.machine);
     // Its next answer says so in any case; this is only faster.
-    if (machine?.current && live.seenAt !== null && machine.address !== "") {
+    if (machine?.hasOurToken && live.firstReportedAt !== null && machine.address !== "") {
       const stop = wire.stopTask(live.task, live.attempt, graceS);
       const queued = this.#orders.get(machine);
       if (queued === undefined) this.#orders.set(machine, [stop]);
@@ -86,7 +86,7 @@
   /** Sends what has been said since the last time straight to the workers. */
   sendOrders(): void {
     for (const [machine, commands] of this.#orders) {
-      this.ctx.order(machine.address, machine.session, commands);
+      this.ctx.sendCommands(machine.address, machine.session, commands);
     }
     this.#orders.clear();
   }
@@ -100,23 +100,23 @@
     }
   }
 
-  #release(live: Live, completed: boolean): void {
+  #release(live: Allocation, completed: boolean): void {
     if (!this.ledger.release(live, completed) || completed) return;
     const { spec } = live.chunk;
     const job = this.ledger.jobs.get(live.chunk.job);
     // A gang runs whole or not at all: without this task the others only hold their room.
     if (spec.kind !== "gang" || job === undefined) return;
     for (const other of job.chunks.values()) {
-      for (const mate of other.live.values()) this.stop(mate, spec.saveS, "gang");
+      for (const mate of other.allocations.values()) this.stop(mate, spec.saveS, "gang");
     }
   }
 
   onReport(report: wire.Report, reply: (answer: Reply) => void): void {
-    const { token, index, clock, gone } = this.ctx;
+    const { token, index, clock, goneMachines: gone } = this.ctx;
     const nothing = (): void => reply(this.#nothing);
     const known = this.ledger.machines.get(report.machine);
     const now = clock.now();
-    const weight = weigh(report, known ?? UNKNOWN, token, now, this.ctx);
+    const weight = classifyReport(report, known ?? UNKNOWN, token, now, this.ctx);
     // A newer owner has spoken to it: an answer of ours would be dropped and would hold it here.
     if (weight.kind === "foreign") {
       reply({ status: 421, body: wire.redirectAnswer(null) });
@@ -142,25 +142,25 @@
       nothing();
       return;
     }
-    if (!machine.current) {
-      machine.current = true;
+    if (!machine.hasOurToken) {
+      machine.hasOurToken = true;
       this.ctx.log.debug({ part: index, machine: machine.id }, "machine follows us");
     }
     this.#hearing(machine, weight, now);
     machine.session = report.session;
     machine.seq = report.seq;
-    const before = machine.live.size;
+    const before = machine.allocations.size;
     const listed = new Set<string>();
-    machine.strays = [];
+    machine.unknownTasks = [];
     for (const task of report.tasks) this.#onTask(machine, task, listed, now);
-    for (const live of [...machine.live.values()]) {
+    for (const live of [...machine.allocations.values()]) {
       if (!listed.has(live.task)) this.#onAbsent(machine, live);
     }
-    const proved = this.ctx.settling() && this.#prove(report);
-    machine.touched();
+    const proved = this.ctx.reconcilingRestore() && this.#prove(report);
+    machine.invalidateFreeResources();
     if (machine.noticeS !== null) this.#drain(machine);
     const answer = { machine, report, listed, reply };
-    if (machine.live.size === before && !proved) {
+    if (machine.allocations.size === before && !proved) {
       this.#answer(answer);
       // Also for what says nothing new: on a quiet part, waiting for the regular pass made jobs late.
       this.wake(false);
@@ -179,9 +179,9 @@
   #hearing(machine: Machine, { hears, misses }: { hears: boolean; misses: boolean }, now: number) {
     // That it has just come to follow us is no answer of ours that a passing fault could have kept.
     if (hears && machine.seq >= 0) this.servedAt = now;
-    const was = machine.deafSince !== null;
+    const was = machine.unreachableSince !== null;
     if (was ? !hears : !misses) return;
-    machine.deafSince = was ? null : now;
+    machine.unreachableSince = was ? null : now;
     this.ledger.changes++;
     const { log, index, metrics } = this.ctx;
     if (!was) metrics.add({ kind: "event", what: "machine deaf" });
@@ -198,7 +198,7 @@
     for (const { task, state, why } of report.tasks) {
       const found = state === "exited" && why === "done" ? this.ledger.find(task) : null;
       if (found === null || found.job.spec.kind === "service") continue;
-      if (!found.chunk.prove(found.index)) continue;
+      if (!found.chunk.markDone(found.index)) continue;
       this.ledger.changes++;
       proved = true;
     }
@@ -219,25 +219,33 @@
       const found = this.ledger.find(task.task);
       const live = this.#liveOf(found, machine, task);
       if (live !== undefined) {
-        if (live.stop !== null && !(task.state === "saving" && live.stop.graceS > 0)) {
-          commands.push(wire.stopTask(live.task, live.attempt, live.stop.graceS));
+        if (
+          live.stopRequest !== null &&
+          !(task.state === "saving" && live.stopRequest.graceS > 0)
+        ) {
+          commands.push(wire.stopTask(live.task, live.attempt, live.stopRequest.graceS));
         }
       } else if (task.state !== "exited") {
         // After a restore it may have begun without a record; what it can save is not lost.
-        const graceS = this.ctx.settling() ? (found?.job.spec.saveS ?? 0) : 0;
+        const graceS = this.ctx.reconcilingRestore() ? (found?.job.spec.saveS ?? 0) : 0;
         if (graceS > 0 && task.state === "saving") continue;
         commands.push(wire.stopTask(task.task, task.attempt, graceS));
-      } else if (found === null || found.chunk.saved >= found.chunk.version) {
+      } else if (found === null || found.chunk.savedVersion >= found.chunk.version) {
         // Its end must be in the store before the worker may forget it.
         commands.push(wire.forgetTask(task.task, task.attempt));
       }
     }
-    for (const live of newest ? machine.live.values() : []) {
-      if (listed.has(live.task) || live.chunk.saved < live.version || live.stop !== null) continue;
+    for (const live of newest ? machine.allocations.values() : []) {
+      if (
+        listed.has(live.task) ||
+        live.chunk.savedVersion < live.version ||
+        live.stopRequest !== null
+      )
+        continue;
       const job = this.ledger.jobs.get(live.chunk.job);
       if (job === undefined || !job.wanted || machine.noticeS !== null) continue;
       if (!this.ctx.valid()) continue;
-      live.told = { session: machine.session, seq: machine.seq };
+      live.startSentIn = { session: machine.session, seq: machine.seq };
       commands.push(wire.startTask(live.task, live.attempt));
       this.ctx.log.debug({ task: live.task, machine: machine.id }, "start");
     }
@@ -250,15 +258,16 @@
 
   /** Whether all that an answer depends on is in the store. */
   #settled({ machine, report }: Held): boolean {
-    for (const live of machine.live.values()) if (live.chunk.saved < live.version) return false;
+    for (const live of machine.allocations.values())
+      if (live.chunk.savedVersion < live.version) return false;
     return report.tasks.every(({ task }) => {
       const found = this.ledger.find(task);
-      return found === null || found.chunk.saved >= found.chunk.version;
+      return found === null || found.chunk.savedVersion >= found.chunk.version;
     });
   }
 
-  #liveOf(found: Found | null, machine: Machine, task: wire.ReportedTask): Live | undefined {
-    const live = found?.chunk.live.get(found.index);
+  #liveOf(found: Found | null, machine: Machine, task: wire.ReportedTask): Allocation | undefined {
+    const live = found?.chunk.allocations.get(found.index);
     return live?.machine === machine.id && live.attempt === task.attempt ? live : undefined;
   }
 
@@ -267,13 +276,13 @@
     const live = this.#liveOf(found, machine, task);
     if (found === null || live === undefined) {
       if (task.state !== "exited") {
-        machine.strays.push(found?.job.spec ?? ({ cpus: 0, gpus: 0, memGb: 0 } as JobSpec));
+        machine.unknownTasks.push(found?.job.spec ?? ({ cpus: 0, gpus: 0, memGb: 0 } as JobSpec));
       }
       return;
     }
     listed.add(live.task);
     const { job } = found;
-    if (live.seenAt === null) live.seenAt = now;
+    if (live.firstReportedAt === null) live.firstReportedAt = now;
     if (task.state !== "exited") {
       if (task.state === "running" && !live.running) {
         live.running = true;
@@ -316,24 +325,25 @@
   }
 
   /** A task of ours that a worker which follows us does not list. */
-  #onAbsent(machine: Machine, live: Live): void {
+  #onAbsent(machine: Machine, live: Allocation): void {
     // Not in the store yet, so its start has not been sent.
-    if (live.chunk.saved < live.version) return;
+    if (live.chunk.savedVersion < live.version) return;
     const job = this.ledger.jobs.get(live.chunk.job);
-    const over = live.stop !== null || job?.open !== true || machine.noticeS !== null;
+    const over = live.stopRequest !== null || job?.open !== true || machine.noticeS !== null;
     // Placed by us and never told: it cannot have started, and this machine would not hear of it.
-    const unheard = machine.deafSince !== null && live.version > 0 && live.told === null;
-    const lost = live.told !== null && live.told.session < machine.session;
+    const unheard =
+      machine.unreachableSince !== null && live.version > 0 && live.startSentIn === null;
+    const lost = live.startSentIn !== null && live.startSentIn.session < machine.session;
     // This worker has taken our token, and every answer that carried the start is older than this
     // report: the task is gone, or never began. If it is still wanted here it is started again.
-    if (live.version === 0 || live.seenAt !== null || lost || over || unheard) {
+    if (live.version === 0 || live.firstReportedAt !== null || lost || over || unheard) {
       this.#release(live, false);
     }
   }
 
   /** The cloud will take the machine: what can save does so now, the rest runs as long as it may. */
   #drain(machine: Machine): void {
-    for (const live of machine.live.values()) {
+    for (const live of machine.allocations.values()) {
       const { spec } = live.chunk;
       if (spec.checkpointS > 0 && live.running) {
         this.stop(live, Math.max(spec.saveS, 0.1), "notice");
@@ -342,7 +352,7 @@
   }
 
   /** Whether most machines that followed us have fallen silent together. */
-  cutOff(): boolean {
+  mostMachinesSilent(): boolean {
     const now = this.ctx.clock.now();
     let followed = 0;
     let silent = 0;
@@ -350,7 +360,11 @@
       // Longer than a lease: that machine has failed by itself, and is dealt with as one.
       const quiet = now - machine.lastSeen;
       // Nor is one that does not hear us: it comes by once a round of all controllers.
-      if (!machine.current || machine.deafSince !== null || quiet > this.ctx.leaseMs * 1.5)
+      if (
+        !machine.hasOurToken ||
+        machine.unreachableSince !== null ||
+        quiet > this.ctx.leaseMs * 1.5
+      )
         continue;
       followed++;
       if (quiet > this.ctx.leaseMs / 3) silent++;
--- a/src/peer/frames.ts
+++ b/src/peer/frames.ts
@@ -1,4 +1,4 @@
-import type { Need, Summary } from "../part/summary.js";
+import type { CapacityRequest, Summary } from "../part/summary.js";
 
 /**
  * What controllers send each other, laid out by hand:
@@ -149,7 +149,7 @@
 /** A program that does not know it rents for that need as for any other. */
 const LENT = 16;
 
-function writeNeed(out: Writer, need: Need): void {
+function writeNeed(out: Writer, need: CapacityRequest): void {
   out.f64(need.cpus);
   out.f64(need.gpus);
   out.f64(need.memGb);
@@ -166,7 +166,7 @@
   out.u32(need.count);
 }
 
-function readNeed(from: Reader): Need {
+function readNeed(from: Reader): CapacityRequest {
   const cpus = from.f64();
   const gpus = from.f64();
   const memGb = from.f64();
--- a/src/pipeline/index.ts
+++ b/src/pipeline/index.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "../clock.js";
-import { cancelledHeader, type Header, isHeader } from "../jobs/header.js";
+import { cancelledHeader, isHeader, type JobHeader } from "../jobs/job-header.js";
 import type { Log } from "../log.js";
-import { HEADERS, keys } from "../state/keys.js";
+import { JOB_HEADER_PREFIX, keys } from "../state/keys.js";
 import type { Mirror } from "../state/mirror.js";
 import type { Change, Condition, Store } from "../state/store.js";
 import { type Fate, Graph } from "./graph.js";
@@ -31,8 +31,8 @@
     /** Asks for a job that is not among the watched headers. */
     readonly lookUp: (id: string) => Promise<Ended>,
   ) {
-    mirror.on(HEADERS, ({ key, value, deleted }) => {
-      const id = key.slice(HEADERS.length);
+    mirror.on(JOB_HEADER_PREFIX, ({ key, value, deleted }) => {
+      const id = key.slice(JOB_HEADER_PREFIX.length);
       if (deleted) this.#graph.lost(id);
       else if (isHeader(value)) this.#take(id, value);
       if (this.#graph.unknown.size > 0) this.#learn();
@@ -85,7 +85,7 @@
     return this.#graph.ids;
   }
 
-  #take(id: string, { status, spec, at, over }: Header): void {
+  #take(id: string, { status, spec, at, over }: JobHeader): void {
     const graph = this.#graph;
     if (status !== "open") {
       graph.over(id, status, over ?? null);
@@ -172,7 +172,7 @@
   async #sweep(): Promise<void> {
     const { writes, limits } = this.store;
     const when: Condition[] = [];
-    const changes: (Change & { put: string; value: Header })[] = [];
+    const changes: (Change & { put: string; value: JobHeader })[] = [];
     let bytes = 0;
     for (const id of this.#graph.orphans) {
       const key = keys.job(id);
--- a/src/quota/limits.ts
+++ b/src/quota/limits.ts
@@ -11,7 +11,7 @@
 /** A limit as the settings have it (`cpus_max`, `gpus_max`). */
 export const limitOf = (setting: number): number => (setting === 0 ? NO_LIMIT : setting);
 
-export const bounded = (limit: number): boolean => limit !== NO_LIMIT;
+export const isLimited = (limit: number): boolean => limit !== NO_LIMIT;
 
 /** Limits by team; settings that were read have `NO_LIMIT` in place of 0. */
 export const limitsOf = (
@@ -25,15 +25,15 @@
 
 /** For people and for bodies: infinity has no form in JSON. */
 export const shownLimit = ({ cpus, gpus }: Amounts): Record<keyof Amounts, number | null> => ({
-  cpus: bounded(cpus) ? cpus : null,
-  gpus: bounded(gpus) ? gpus : null,
+  cpus: isLimited(cpus) ? cpus : null,
+  gpus: isLimited(gpus) ? gpus : null,
 });
 
 /**
  * What is wrong with the teams of the settings, one line each: found at start, and not when the
  * first job of a team is refused for good.
  */
-export function teamFaults(
+export function teamConfigErrors(
   teams: readonly {
     name: string;
     cpus: number;
--- a/src/quota/slices.ts
+++ b/src/quota/slices.ts
@@ -1,6 +1,6 @@
-import { type Amounts, add, minus } from "../fair/share.js";
+import { type Amounts, addAmounts, subtractAmounts } from "../fair/share.js";
 import { isMap } from "../wire/cbor.js";
-import { bounded } from "./limits.js";
+import { isLimited } from "./limits.js";
 
 type Slice = [cpus: number, gpus: number];
 
@@ -52,16 +52,16 @@
 }
 
 /** Nothing, as long as somebody's slice is not known. */
-export function freeOf(record: SliceRecord, limit: Amounts): Amounts {
+export function unassignedAmounts(record: SliceRecord, limit: Amounts): Amounts {
   let taken: Amounts = { cpus: 0, gpus: 0 };
   for (const slice of Object.values(record)) {
     if (slice === null) return { cpus: 0, gpus: 0 };
-    taken = add(taken, { cpus: slice[0], gpus: slice[1] });
+    taken = addAmounts(taken, { cpus: slice[0], gpus: slice[1] });
   }
-  return minus(limit, taken);
+  return subtractAmounts(limit, taken);
 }
 
-export const smaller = (a: Amounts, b: Amounts): Amounts => ({
+export const minAmounts = (a: Amounts, b: Amounts): Amounts => ({
   cpus: Math.min(a.cpus, b.cpus),
   gpus: Math.min(a.gpus, b.gpus),
 });
@@ -76,13 +76,13 @@
  * What is left never is below zero: a hair below it, by rounding, a rank that nobody asks for came
  * to 0 times infinity.
  */
-export function target(
+export function targetSlice(
   limit: number,
   mine: readonly number[],
   others: readonly number[],
   parts: number,
 ): number {
-  if (!bounded(limit)) return limit;
+  if (!isLimited(limit)) return limit;
   let left = Math.max(0, limit);
   let sum = 0;
   for (let rank = mine.length - 1; rank >= 0; rank--) {
@@ -97,16 +97,16 @@
 }
 
 /** The record with this part's slice moved towards `wanted` as far as the limit allows. */
-export function reslice(
+export function resizeSlice(
   record: SliceRecord,
   part: number,
   wanted: Amounts,
   limit: Amounts,
 ): SliceRecord {
   const own = sliceOf(record, part);
-  const free = freeOf(record, limit);
+  const free = unassignedAmounts(record, limit);
   const one = (resource: keyof Amounts): number => {
-    if (!bounded(limit[resource])) return own?.[resource] ?? 0;
+    if (!isLimited(limit[resource])) return own?.[resource] ?? 0;
     // Its owner says what its tasks use: they are there, whether that fits the limit or not.
     if (own === null) return Math.max(0, wanted[resource]);
     const most = own[resource] + Math.max(0, free[resource]);
--- a/src/settings/tuning.ts
+++ b/src/settings/tuning.ts
@@ -2,7 +2,7 @@
 import type * as Protobuf from "protobufjs";
 import type * as TextFormat from "protobufjs/ext/textformat.js";
 import type { ExtraTeam } from "../extension/index.js";
-import { type Amounts, add, type Group, ROOT } from "../fair/share.js";
+import { type Amounts, addAmounts, type Group, ROOT } from "../fair/share.js";
 import { SettingsError, type Team } from "./settings.js";
 
 /** The operators' own settings, as `deploy/tuning.example.textproto` explains them. */
@@ -275,7 +275,7 @@
     });
     for (let at: string | null = parent; at !== null; at = groups.get(at)!.parent) {
       const group = groups.get(at)!;
-      group.nominal = add(group.nominal, { cpus, gpus });
+      group.nominal = addAmounts(group.nominal, { cpus, gpus });
     }
   }
   for (const { name, group } of extra) {
--- a/src/state/admission.ts
+++ b/src/state/admission.ts
@@ -1,5 +1,5 @@
 import type { Clock } from "../clock.js";
-import { Budget } from "./budget.js";
+import { RateLimiter } from "./rate-limiter.js";
 
 /** PROTOCOL: a user comes back after at most so long. Who has not is not waiting any more. */
 const RETURNS_MS = 30_000;
@@ -20,7 +20,7 @@
  * Owned by its controller, in memory only: after a restart all are new again. Bounded by `MOST`.
  */
 export class Admission {
-  readonly #budget: Budget;
+  readonly #budget: RateLimiter;
   /** Who was refused once. Floods of questions that are asked only once stay here. */
   readonly #once = new Map<string, Waiting>();
   /** Who came back and was refused again, in that order. */
@@ -32,7 +32,7 @@
     readonly rate: number,
     readonly clock: Clock,
   ) {
-    this.#budget = new Budget(rate, Math.max(1, rate), clock);
+    this.#budget = new RateLimiter(rate, Math.max(1, rate), clock);
   }
 
   get waiting(): number {
@@ -40,7 +40,7 @@
   }
 
   /** Whether a question about this passes; if not, its repetition has better odds. */
-  pass(name: string): boolean {
+  admit(name: string): boolean {
     const now = this.clock.now();
     this.#expire(this.#once, now);
     this.#expire(this.#waiting, now);
--- a/src/state/keys.ts
+++ b/src/state/keys.ts
@@ -1,7 +1,7 @@
 /** Everything under `w/` is watched by every controller; task records under `c/` are not. */
-export const WATCHED = "w/";
+export const WATCHED_PREFIX = "w/";
 /** Headers of jobs, open ones and those that were over lately. */
-export const HEADERS = "w/j/";
+export const JOB_HEADER_PREFIX = "w/j/";
 /** So that the history's keys are in order. */
 const REVISION_DIGITS = 9;
 export const keys = {
@@ -15,16 +15,16 @@
   quota: (team: string): string => `w/q/${encodeURIComponent(team)}`,
   summary: (part: number): string => `w/s/${part}`,
   /** Machines that the cloud has confirmed to be gone, by the call that returned them. */
-  gone: (call: string): string => `w/g/${call}`,
+  goneMachines: (call: string): string => `w/g/${call}`,
   types: "w/types",
   schema: "w/schema",
   /** The same two from the second schema on. */
   leader2: "w/2/lead",
   types2: "w/2/types",
-  /** That all of this was restored from an image, and what goes for it (`restored.ts`). */
+  /** That all of this was restored from an image, and what goes for it (`restore-state.ts`). */
   restored: "w/restored",
   /** Which owner of a part has found out all that runs there since. */
-  vouched: (part: number): string => `w/r/${part}`,
+  reconciled: (part: number): string => `w/r/${part}`,
   /** All of the configuration that changes while serving (`src/configuration`). */
   configuration: (rest: string): string => `w/c/${rest}`,
   /** Names the newest revision; commits that decide by one depend on its version. */
--- a/src/state/mirror.ts
+++ b/src/state/mirror.ts
@@ -1,6 +1,6 @@
 import { type Clock, sleep } from "../clock.js";
 import type { Log } from "../log.js";
-import { WATCHED } from "./keys.js";
+import { WATCHED_PREFIX } from "./keys.js";
 import { type Event, Refused, type Row, type Store } from "./store.js";
 
 type Listener = (event: Event) => void;
@@ -11,13 +11,13 @@
  * What this controller had read at a moment. A row that was asked for under one mark counts only
  * under the same one: what a listing has passed over since may be newer.
  */
-export type Mark = number;
+export type ListingEpoch = number;
 
 /**
  * A copy of the watched keys, kept current by one long-polling watch. `freshAsOf` is the latest
  * moment up to which this controller is known to have seen every change.
  *
- * Jobs that are over need not be kept: `forget` takes a row out of memory, and `passes` keeps rows
+ * Jobs that are over need not be kept: `evict` takes a row out of memory, and `skipsRow` keeps rows
  * out that a first listing finds. Whoever asks for such a job reads it from the store.
  */
 export class Mirror {
@@ -26,7 +26,7 @@
   freshAsOf = Number.NEGATIVE_INFINITY;
   ready = false;
   /** Whether a row that a listing found need not be kept; set by who knows what rows mean. */
-  passes: (row: Row) => boolean = () => false;
+  skipsRow: (row: Row) => boolean = () => false;
   /**
    * Versions of keys that were deleted or forgotten: an answer that is older must not bring one
    * back. In two generations: an answer comes within a request's deadline or not at all, so what
@@ -70,7 +70,7 @@
   }
 
   /** Has one key's changes told, until what is returned is called. */
-  expect(key: string, run: Listener): () => void {
+  onKey(key: string, run: Listener): () => void {
     const all = this.#expected.get(key) ?? new Set();
     this.#expected.set(key, all.add(run));
     return () => {
@@ -80,7 +80,7 @@
   }
 
   /** Resolves once every change up to `revision` has been applied here. */
-  reached(revision: number): Promise<void> {
+  waitForRevision(revision: number): Promise<void> {
     if (this.ready && this.revision >= revision) return Promise.resolve();
     return new Promise((done) => {
       this.#waiters.push({ revision, done });
@@ -93,7 +93,7 @@
    * none, since the watch returns and is sent again within a moment.
    * @throws Refused, NoAnswer when the store does not tell
    */
-  current(): Promise<void> {
+  waitUntilCurrent(): Promise<void> {
     if (!this.ready) return Promise.reject(new Refused("not read yet"));
     return new Promise((done, failed) => {
       this.#readers.push({ after: this.#sent, done, failed });
@@ -129,8 +129,8 @@
     } else if (this.#readers.length > 0) this.#askSoon();
   }
 
-  /** To be taken before something is asked whose answer is then handed to `learn`. */
-  mark(): Mark {
+  /** To be taken before something is asked whose answer is then handed to `applyIfNotRelisted`. */
+  listingEpoch(): ListingEpoch {
     return this.#epoch;
   }
 
@@ -139,7 +139,7 @@
    * open header, read just before a listing passed over the same header as done, would have stayed
    * in memory as open for good, and its tasks would have run once more.
    */
-  learn(event: Event, mark: Mark): void {
+  applyIfNotRelisted(event: Event, mark: ListingEpoch): void {
     if (this.ready && mark === this.#epoch) this.apply(event);
   }
 
@@ -149,7 +149,7 @@
   }
 
   /** Takes a row out of memory, without a word to anybody; the store still has it. */
-  forget(key: string): void {
+  evict(key: string): void {
     const known = this.rows.get(key);
     if (known === undefined) return;
     this.rows.delete(key);
@@ -210,7 +210,7 @@
   /** Takes in the changes since the last ones; false when the service has forgotten some of them. */
   async #follow(waitMs: number): Promise<boolean> {
     const mine = ++this.#sent;
-    const seen = await this.store.watch(WATCHED, this.revision, waitMs);
+    const seen = await this.store.watch(WATCHED_PREFIX, this.revision, waitMs);
     if (seen === null) return false;
     for (const event of seen.events) this.apply(event);
     this.revision = Math.max(this.revision, seen.revision);
@@ -249,7 +249,7 @@
     }
     for (;;) {
       const listing = this.#listing;
-      const page = await this.store.page(WATCHED, listing?.after ?? null, PAGE);
+      const page = await this.store.page(WATCHED_PREFIX, listing?.after ?? null, PAGE);
       // Pages are read at different revisions: changes are followed from the oldest.
       if (listing === null) this.revision = page.revision;
       const { known, at } = listing ?? { known: [...this.rows.keys()].sort(), at: 0 };
@@ -258,7 +258,7 @@
       const present = new Set<string>();
       for (const row of page.rows) {
         present.add(row.key);
-        if (!this.rows.has(row.key) && this.passes(row)) continue;
+        if (!this.rows.has(row.key) && this.skipsRow(row)) continue;
         this.apply({ ...row, deleted: false });
       }
       // A key that we knew and that is missing was deleted after we last heard of it. One that we
--- a/src/state/budget.ts
+++ b/src/state/rate-limiter.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "../clock.js";
 
 /** A token bucket: `rate` a second, with bursts of up to `burst`. */
-export class Budget {
+export class RateLimiter {
   #rate: number;
   #burst: number;
   #level: number;
--- a/src/state/writable.ts
+++ b/src/state/record-validator.ts
@@ -1,5 +1,5 @@
 /** What reads records of one kind; false for what it would refuse. */
-export type Reads = (value: unknown, key: string) => boolean;
+export type RecordReader = (value: unknown, key: string) => boolean;
 
 /** Where in a value something is that would not be given back as it is, or null. */
 function lossy(value: unknown, at = ""): string | null {
@@ -31,8 +31,8 @@
  * Whoever writes several records at once asks before (`fault`) and leaves out the one that is
  * refused; what is written all the same is refused by the client of the store (`Unwritable`).
  */
-export class Writable {
-  readonly #kinds: { pattern: RegExp; reads: Reads }[] = [];
+export class RecordValidator {
+  readonly #kinds: { pattern: RegExp; reads: RecordReader }[] = [];
   /** Values that have passed: they are asked about twice, and are not changed in between. */
   readonly #passed = new WeakSet<object>();
   /** Keys that have been refused, until they pass. */
@@ -44,7 +44,7 @@
   ) {}
 
   /** Records whose key matches are read by `reads`; of others only what a store keeps is checked. */
-  add(pattern: RegExp, reads: Reads): this {
+  add(pattern: RegExp, reads: RecordReader): this {
     this.#kinds.push({ pattern, reads });
     return this;
   }
--- a/src/state/restored.ts
+++ b/src/state/restore-state.ts
@@ -10,9 +10,9 @@
   tokens: z.number().int().nonnegative(),
 });
 
-export type RestoredRecord = z.infer<typeof record>;
+export type RestoreRecord = z.infer<typeof record>;
 
-export interface Restored {
+export interface RestoreState {
   /**
    * `none`: nothing was ever restored here. `filling`: records are still being put here, and nobody
    * may act on them. `settling`: tasks may be running that the records do not tell of, from the time
@@ -23,24 +23,24 @@
   version: number;
 }
 
-export const parseRestored = (value: unknown): RestoredRecord | null =>
+export const parseRestoreRecord = (value: unknown): RestoreRecord | null =>
   record.safeParse(value).data ?? null;
 
 /** What has been parsed: it is asked for with every report. */
-const known = new WeakMap<object, RestoredRecord | null>();
+const known = new WeakMap<object, RestoreRecord | null>();
 
-function parsedOnce(value: unknown): RestoredRecord | null {
+function parsedOnce(value: unknown): RestoreRecord | null {
   if (typeof value !== "object" || value === null) return null;
   let parsed = known.get(value);
   if (parsed === undefined) {
-    parsed = parseRestored(value);
+    parsed = parseRestoreRecord(value);
     known.set(value, parsed);
   }
   return parsed;
 }
 
 /** Whether what is there was restored from an image, as far as a controller has heard. */
-export function restoredOf(mirror: Mirror): Restored {
+export function restoreStateOf(mirror: Mirror): RestoreState {
   const row = mirror.rows.get(keys.restored);
   if (row === undefined) return { state: "none", tokens: 0, version: 0 };
   const parsed = parsedOnce(row.value);
@@ -54,4 +54,5 @@
  * start low again while workers have seen those of the former one, and would drop all that comes
  * with a lower one; so there they are raised by a number that no stamp before had reached.
  */
-export const tokenOf = (mirror: Mirror, stamp: number): number => restoredOf(mirror).tokens + stamp;
+export const fencingTokenOf = (mirror: Mirror, stamp: number): number =>
+  restoreStateOf(mirror).tokens + stamp;
--- a/src/state/turns.ts
+++ b/src/state/retry-after.ts
@@ -7,7 +7,7 @@
  * Who cannot be served now is told when to come back: one after the other, as fast as there is room
  * for them, and not all of them a second later.
  */
-export class Turns {
+export class RetryAfterQueue {
   #next = Number.NEGATIVE_INFINITY;
 
   constructor(
@@ -17,7 +17,7 @@
   ) {}
 
   /** Whole seconds, from 1 to 30. */
-  take(): number {
+  nextDelayS(): number {
     const now = this.clock.now();
     const gapMs = 1000 / Math.max(this.perSecond(), 1e-3);
     // A turn is given out once. Beyond what may be said nobody is told more: those come back together.
--- a/src/state/schema.ts
+++ b/src/state/schema.ts
@@ -15,7 +15,7 @@
  */
 export const KNOWN_SCHEMA = 3;
 export const ARCHIVE_SCHEMA = 2;
-export const CONFIGURED_SCHEMA = 3;
+export const CONFIGURATION_SCHEMA = 3;
 
 export interface Schema {
   version: number;
@@ -38,7 +38,7 @@
   schemaOf(mirror).version === 1 ? keys.types : keys.types2;
 
 /** Why this program cannot go on with a store, or null. */
-export function unreadable({ version }: Schema): string | null {
+export function schemaIncompatibility({ version }: Schema): string | null {
   if (Number.isInteger(version) && version >= 1 && version <= KNOWN_SCHEMA) return null;
   const shown = Number.isNaN(version) ? "that cannot be read" : String(version);
   return `the state service holds records of schema ${shown}; this program knows up to ${KNOWN_SCHEMA}`;
--- a/src/state/store.ts
+++ b/src/state/store.ts
@@ -1,8 +1,8 @@
 import type { Clock } from "../clock.js";
 import { type Answer, type HttpClient, NoAnswer } from "../http/client.js";
 import * as wire from "../wire/store.js";
-import { Budget } from "./budget.js";
-import { Writable } from "./writable.js";
+import { RateLimiter } from "./rate-limiter.js";
+import { RecordValidator } from "./record-validator.js";
 
 export type { Change, Condition, Event, Page, Row } from "../wire/store.js";
 
@@ -12,7 +12,7 @@
 export class Busy extends Refused {}
 /** Not executed and never will be: the service finds fault with it. */
 export class Rejected extends Refused {}
-/** Not sent: one of its records could not be read back (`Writable`). */
+/** Not sent: one of its records could not be read back (`RecordValidator`). */
 export class Unwritable extends Rejected {}
 /** The service answered with something this program does not understand. */
 export class Garbled extends Error {}
@@ -62,9 +62,9 @@
 /** What the rest of the program needs of the state service; tests have one in memory. */
 export interface Store {
   readonly limits: StoreLimits;
-  readonly writes: Budget;
+  readonly writes: RateLimiter;
   /** What every record has to pass before it is written. */
-  readonly writable: Writable;
+  readonly writable: RecordValidator;
   /** Says how many controllers share the service's limits now. */
   divide(controllers: number): void;
   get(key: string): Promise<wire.Row | null>;
@@ -83,7 +83,7 @@
 }
 
 /** @throws Unwritable for the first record that its own reader would refuse */
-export function mustPass(writable: Writable, then: readonly wire.Change[]): void {
+export function mustPass(writable: RecordValidator, then: readonly wire.Change[]): void {
   for (const change of then) {
     const why = "put" in change ? writable.fault(change.put, change.value) : null;
     if (why !== null) throw new Unwritable(`${(change as { put: string }).put}: ${why}`);
@@ -91,18 +91,18 @@
 }
 
 export class StoreClient implements Store {
-  readonly writes: Budget;
-  readonly #requests: Budget;
+  readonly writes: RateLimiter;
+  readonly #requests: RateLimiter;
 
   constructor(
     readonly http: HttpClient,
     readonly limits: StoreLimits,
     readonly clock: Clock,
     readonly timeoutMs: number,
-    readonly writable = new Writable(),
+    readonly writable = new RecordValidator(),
   ) {
-    this.writes = new Budget(limits.writeRps, limits.writeRps, clock);
-    this.#requests = new Budget(limits.rps, limits.rps, clock);
+    this.writes = new RateLimiter(limits.writeRps, limits.writeRps, clock);
+    this.#requests = new RateLimiter(limits.rps, limits.rps, clock);
     this.divide(1);
   }
 
--- a/src/state/witnessed.ts
+++ b/src/state/watched-transaction.ts
@@ -15,7 +15,7 @@
  *
  * @throws what `transact` throws, if the watch has told nothing by then
  */
-export async function witnessed(
+export async function transactConfirmedByWatch(
   store: Store,
   mirror: Mirror,
   key: string,
@@ -27,7 +27,7 @@
   const before = when.find((condition) => condition.key === key)?.version ?? 0;
   let stop = (): void => undefined;
   const seen = new Promise<TxnResult>((resolve) => {
-    stop = mirror.expect(key, (event) => {
+    stop = mirror.onKey(key, (event) => {
       if (event.deleted || event.version <= before) return;
       if (isDeepStrictEqual(plain(event.value), value))
         resolve({ ok: true, revision: event.version });
--- a/src/submit/index.ts
+++ b/src/submit/index.ts
@@ -4,7 +4,12 @@
  * `submit` in the operators' settings (`deploy/submit.textproto`); `docs/submit.md` says how it
  * works, and what becomes of every command of the file language.
  */
-import { type Attachment, type Core, type Extension, without } from "../extension/index.js";
+import {
+  type Attachment,
+  type Core,
+  controllersWithoutPackage,
+  type Extension,
+} from "../extension/index.js";
 import type { PackageDoor } from "../settings/door.js";
 import { SubmitApi } from "./site/api.js";
 import { Book } from "./site/book.js";
@@ -63,21 +68,21 @@
     // A controller without the package leaves such jobs alone, whatever it takes over; but nothing
     // of them would start there.
     const notNow = (): string | null => {
-      const [stranger] = without(NAME, core);
+      const [stranger] = controllersWithoutPackage(NAME, core);
       return stranger === undefined ? null : `${stranger} does not match expressions`;
     };
     const api = new SubmitApi(core, this.settings, book, desk, matcher, notNow);
     return {
       find: api.find,
-      matching: new SubmitMatching(core, book, desk, matcher),
+      matcher: new SubmitMatching(core, book, desk, matcher),
       lead: (leading) => new Steward(core, this.settings, book, desk, matcher, leading),
       // Until a cluster is forgotten, it shows how each of its jobs ended. Which clusters there are
       // is not known before all keys have been read.
-      wants: (id) => {
+      needsHeader: (id) => {
         const place = placeOf(id);
         return place !== null && (!core.mirror.ready || book.clusters.has(place.cluster));
       },
-      refuses: ({ match }) => (match === undefined ? null : notNow()),
+      refusalReason: ({ match }) => (match === undefined ? null : notNow()),
       status: () => ({
         submit: { clusters: book.clusters.size, evaluations: matcher.evaluations },
       }),
--- a/src/submit/site/analyze.ts
+++ b/src/submit/site/analyze.ts
@@ -1,8 +1,8 @@
 import { clauses, Expression, print, truth } from "../../classad/index.js";
-import type { KindRoom } from "../../part/summary.js";
+import type { KindCapacity } from "../../part/summary.js";
 import type { MachineType } from "../../wire/cloud.js";
 import type { JobSpec } from "../../wire/jobs.js";
-import { allowed, typeFits } from "../../workers/machine.js";
+import { kindAllowed, typeFits } from "../../workers/machine.js";
 import { kindsOf, putRoom } from "./kinds.js";
 import type { Matcher } from "./matcher.js";
 
@@ -40,7 +40,7 @@
 export function analyze(
   spec: JobSpec,
   matcher: Matcher,
-  rooms: readonly KindRoom[],
+  rooms: readonly KindCapacity[],
   types: ReadonlyMap<string, MachineType>,
   zones: readonly string[],
 ): Analysis {
@@ -81,7 +81,7 @@
     const { ad, start } = matcher.kind(kind)!;
     putRoom(ad, type);
     for (const { key } of ad.attributes()) known.add(key);
-    if (!allowed(spec, kind) || !typeFits(spec, type)) continue;
+    if (!kindAllowed(spec, kind) || !typeFits(spec, type)) continue;
     out.fitting += count;
     const now = { now: matcher.now() };
     const is = parts.map(
--- a/src/submit/site/book.ts
+++ b/src/submit/site/book.ts
@@ -1,5 +1,5 @@
 import type { Core } from "../../extension/index.js";
-import { type Header, isHeader } from "../../jobs/header.js";
+import { isHeader, type JobHeader } from "../../jobs/job-header.js";
 import { keys as coreKeys } from "../../state/keys.js";
 import { type ClusterRecord, isCluster, jobId, keys, placeOf } from "./records.js";
 
@@ -12,7 +12,7 @@
 export interface JobState {
   index: number;
   id: string;
-  header: Header | null;
+  header: JobHeader | null;
 }
 
 /** All clusters, as the watch tells of them; nothing else writes here. */
@@ -47,7 +47,7 @@
   }
 
   /** A job's header, as far as this controller has heard. */
-  header(id: string): Header | null {
+  header(id: string): JobHeader | null {
     const row = this.core.mirror.rows.get(coreKeys.job(id));
     return row !== undefined && isHeader(row.value) ? row.value : null;
   }
--- a/src/submit/site/desk.ts
+++ b/src/submit/site/desk.ts
@@ -1,6 +1,6 @@
 import type { Core } from "../../extension/index.js";
-import { cancelOnce } from "../../jobs/cancelling.js";
-import { isHeader } from "../../jobs/header.js";
+import { tryCancel } from "../../jobs/cancel.js";
+import { isHeader } from "../../jobs/job-header.js";
 import { keys as coreKeys } from "../../state/keys.js";
 import type { Condition, Row } from "../../state/store.js";
 import type { Book, Versioned } from "./book.js";
@@ -72,7 +72,7 @@
       if (row.value.status !== "open") return true;
       if (attempt > 0 || !paid) store.writes.force(2);
       if (
-        (await cancelOnce(store, mirror, id, { header: row.value, version: row.version })) !== null
+        (await tryCancel(store, mirror, id, { header: row.value, version: row.version })) !== null
       )
         return true;
     }
--- a/src/submit/site/kinds.ts
+++ b/src/submit/site/kinds.ts
@@ -1,6 +1,6 @@
 import { Ad, build, Expression, type Node } from "../../classad/index.js";
 import type { MachineType } from "../../wire/cloud.js";
-import type { MachineKind, Room } from "../../workers/machine.js";
+import type { MachineKind, Resources } from "../../workers/machine.js";
 import type { MachineRule } from "./settings.js";
 
 /** Attributes that change with what runs on a machine. */
@@ -21,7 +21,7 @@
   Math.abs(value - Math.round(value)) < 1e-6 ? BigInt(Math.round(value)) : value;
 
 /** Writes what is free there into a machine's ad. */
-export function putRoom(ad: Ad, room: Room): void {
+export function putRoom(ad: Ad, room: Resources): void {
   ad.put("Cpus", amount(room.cpus));
   ad.put("Memory", whole(room.memGb * MB_PER_GB));
   ad.put("GPUs", amount(room.gpus));
--- a/src/submit/site/matcher.ts
+++ b/src/submit/site/matcher.ts
@@ -9,7 +9,7 @@
 } from "../../classad/index.js";
 import type { MachineType } from "../../wire/cloud.js";
 import type { JobSpec } from "../../wire/jobs.js";
-import { allowed, type MachineKind, type Room, typeFits } from "../../workers/machine.js";
+import { kindAllowed, type MachineKind, type Resources, typeFits } from "../../workers/machine.js";
 import { type JobAd, JobAds } from "./job-ads.js";
 import { dropRoom, type KindAd, kindAd, kindsOf, putRoom } from "./kinds.js";
 import type { MachineRule } from "./settings.js";
@@ -92,11 +92,11 @@
       this.#epoch++;
     }
     // Asked for every machine in a pass.
-    const { slot } = on;
+    const { matcherCache: slot } = on;
     if (slot instanceof Kind && slot.epoch === this.#epoch && slot.is(on)) return slot;
     const known = this.#kinds.get(on.type)?.get(on.zone)?.[on.spot ? 1 : 0];
     const kind = known ?? this.#newKind(on, types.get(on.type));
-    if (slot !== undefined) on.slot = kind;
+    if (slot !== undefined) on.matcherCache = kind;
     return kind;
   }
 
@@ -112,12 +112,12 @@
   }
 
   /** The machine's whole room when `room` is null. Null: not there; else the rank. */
-  rank(spec: JobSpec, on: MachineKind, room: Room | null): number | null {
+  rank(spec: JobSpec, on: MachineKind, room: Resources | null): number | null {
     return this.ranking(spec)(on, room);
   }
 
   /** For all machines of a pass: what does not depend on the machine is found once. */
-  ranking(spec: JobSpec): (on: MachineKind, room: Room | null) => number | null {
+  ranking(spec: JobSpec): (on: MachineKind, room: Resources | null) => number | null {
     const job = this.jobAd(spec);
     // Notices when the catalogue has changed.
     this.kind(NOWHERE);
@@ -125,7 +125,7 @@
     const { answers } = job;
     const epoch = this.#epoch;
     return (on, room) => {
-      const { slot } = on;
+      const { matcherCache: slot } = on;
       const here = slot instanceof Kind && slot.epoch === epoch && slot.is(on);
       const kind = here ? slot : this.kind(on);
       if (kind === null) return null;
@@ -134,7 +134,7 @@
     };
   }
 
-  #ask(job: JobAd, kind: Kind, free: Room): number | null {
+  #ask(job: JobAd, kind: Kind, free: Resources): number | null {
     if (!job.byRoom) {
       putRoom(kind.ad, free);
       const answer = this.#evaluate(job, kind);
@@ -194,7 +194,7 @@
 
   #prospect(spec: JobSpec, job: JobAd): boolean {
     for (const { kind, type } of kindsOf(this.types(), this.zones)) {
-      if (!allowed(spec, kind) || !typeFits(spec, type)) continue;
+      if (!kindAllowed(spec, kind) || !typeFits(spec, type)) continue;
       if (this.rank(spec, kind, null) !== null) return true;
       if (job.byRoom && this.#open(job, this.kind(kind)!)) return true;
     }
@@ -205,7 +205,7 @@
   whyNever(spec: JobSpec): string {
     const job = this.jobAd(spec);
     const kinds = [...kindsOf(this.types(), this.zones)]
-      .filter(({ kind, type }) => allowed(spec, kind) && typeFits(spec, type))
+      .filter(({ kind, type }) => kindAllowed(spec, kind) && typeFits(spec, type))
       .map(({ kind, type }) => ({ ...this.kind(kind)!, type }));
     const parts = job.requirements === null ? [] : clauses(job.requirements.node);
     for (const part of parts.map((node) => new Expression(node))) {
--- a/src/submit/site/matching.ts
+++ b/src/submit/site/matching.ts
@@ -1,7 +1,7 @@
-import type { Core, Matching } from "../../extension/index.js";
+import type { Core, JobMatcher } from "../../extension/index.js";
 import { encode } from "../../wire/cbor.js";
 import { BY_REQUIREMENTS, type JobSpec } from "../../wire/jobs.js";
-import type { MachineKind, Room } from "../../workers/machine.js";
+import type { MachineKind, Resources } from "../../workers/machine.js";
 import type { Book } from "./book.js";
 import type { Desk } from "./desk.js";
 import { faultOf } from "./job-ads.js";
@@ -9,7 +9,7 @@
 import { holdOf, mayStart, placeOf, withHold } from "./records.js";
 
 /** What the core asks about jobs with expressions, from clusters and from machines' ads. */
-export class SubmitMatching implements Matching {
+export class SubmitMatching implements JobMatcher {
   /** Holds that are on their way to the store. */
   readonly #asked = new Set<string>();
 
@@ -20,15 +20,15 @@
     readonly matcher: Matcher,
   ) {}
 
-  rank(spec: JobSpec, on: MachineKind, room: Room | null): number | null {
+  rank(spec: JobSpec, on: MachineKind, room: Resources | null): number | null {
     return this.matcher.rank(spec, on, room);
   }
 
-  ranking(spec: JobSpec): (on: MachineKind, room: Room | null) => number | null {
+  rankerFor(spec: JobSpec): (on: MachineKind, room: Resources | null) => number | null {
     return this.matcher.ranking(spec);
   }
 
-  idle(id: string, spec: JobSpec): boolean {
+  cannotStart(id: string, spec: JobSpec): boolean {
     const place = placeOf(id);
     if (place !== null) {
       const record = this.book.clusters.get(place.cluster)?.value;
@@ -40,22 +40,22 @@
     return !this.matcher.prospect(spec);
   }
 
-  like(spec: JobSpec): string | null {
+  equivalenceKey(spec: JobSpec): string | null {
     return this.matcher.likeOf(spec);
   }
 
-  held(id: string): string | null {
+  holdReason(id: string): string | null {
     const place = placeOf(id);
     if (place === null) return null;
     const record = this.book.clusters.get(place.cluster)?.value;
     return record === undefined ? null : holdOf(record, place.index);
   }
 
-  mostMs(spec: JobSpec): number | null {
+  maxRunMs(spec: JobSpec): number | null {
     return this.matcher.jobAd(spec).mostMs;
   }
 
-  retries(spec: JobSpec): number | null {
+  maxRetries(spec: JobSpec): number | null {
     return this.matcher.jobAd(spec).retries;
   }
 
@@ -73,7 +73,7 @@
       .finally(() => this.#asked.delete(id));
   }
 
-  refuses(id: string, spec: JobSpec): { status: number; reason: string } | null {
+  rejection(id: string, spec: JobSpec): { status: number; reason: string } | null {
     const match = spec.match!;
     const bytes = encode(match).length;
     // The header holds it, with the chunks' owners and what is asked of machines.
--- a/src/submit/site/steward.ts
+++ b/src/submit/site/steward.ts
@@ -1,7 +1,7 @@
 import { Ad, print, runReference, truth } from "../../classad/index.js";
 import { sleep } from "../../clock.js";
-import type { Core, Leading } from "../../extension/index.js";
-import type { Header } from "../../jobs/header.js";
+import type { Core, LeaderTerm } from "../../extension/index.js";
+import type { JobHeader } from "../../jobs/job-header.js";
 import { type Book, isOver, type JobState } from "./book.js";
 import type { Desk } from "./desk.js";
 import type { Matcher } from "./matcher.js";
@@ -20,7 +20,7 @@
  */
 export function wishOf(
   ad: Ad,
-  header: Pick<Header, "at" | "started">,
+  header: Pick<JobHeader, "at" | "started">,
   hold: string | null,
   wall: number,
 ): Wish {
@@ -100,7 +100,7 @@
     readonly book: Book,
     readonly desk: Desk,
     readonly matcher: Matcher,
-    readonly leading: Leading,
+    readonly leading: LeaderTerm,
   ) {
     void this.#run();
   }
@@ -115,7 +115,7 @@
 
   async #run(): Promise<void> {
     const { clock, log, mirror, settings } = this.core;
-    await mirror.reached(this.leading.claim.version);
+    await mirror.waitForRevision(this.leading.claim.version);
     // What an earlier leader had begun, or had not seen.
     for (const id of this.book.clusters.keys()) this.book.touched.add(id);
     while (!this.#stopped) {
--- a/src/submit/site/views.ts
+++ b/src/submit/site/views.ts
@@ -1,4 +1,4 @@
-import { chunksLeft } from "../../jobs/header.js";
+import { unfinishedChunks } from "../../jobs/job-header.js";
 import type { Summaries } from "../../part/summary.js";
 import type { JobState } from "./book.js";
 import { type ClusterRecord, holdOf } from "./records.js";
@@ -65,7 +65,7 @@
   const base = { index, id, procs: tasks, reason: status === "open" ? reason : null, ...size };
   if (status === "done") return { ...base, letter: "C", ...counts, done: tasks };
   const { placed, done } = progress.get(id) ?? NONE;
-  const left = Math.min(tasks, chunksLeft(owners) * chunkSize);
+  const left = Math.min(tasks, unfinishedChunks(owners) * chunkSize);
   counts.done = Math.min(tasks, tasks - left + done);
   if (status === "cancelled")
     return { ...base, letter: "X", ...counts, removed: tasks - counts.done };
--- a/src/suspicion/court.ts
+++ b/src/suspicion/court.ts
@@ -82,7 +82,7 @@
     );
     if (accusation.judged) {
       // The others say that we do not serve: they are believed for a while, whatever it seems like here.
-      claims.stepBack(this.timing.leaseMs * 2, "judged by others").catch(() => undefined);
+      claims.relinquish(this.timing.leaseMs * 2, "judged by others").catch(() => undefined);
     }
   }
 
@@ -167,7 +167,7 @@
     if (lease === null) return;
     const value: Accusation = { ...accusation, witnesses, judged: true };
     this.#once(async () => {
-      const done = await claims.inherit(
+      const done = await claims.reassign(
         name,
         accusation.run,
         [
--- a/src/suspicion/failure-detector.ts
+++ b/src/suspicion/failure-detector.ts
@@ -4,8 +4,8 @@
 import { parsePresence } from "../membership/presence.js";
 import type { Frame } from "../peer/frames.js";
 import { keys } from "../state/keys.js";
-import { tokenOf } from "../state/restored.js";
-import type { Mark } from "../workers/evidence.js";
+import { fencingTokenOf } from "../state/restore-state.js";
+import type { ReportPosition } from "../workers/report-classification.js";
 import { Court } from "./court.js";
 import { ailing, fitToAccuse, Lateness, type Own } from "./health.js";
 import {
@@ -69,14 +69,14 @@
       stop: () => {
         this.#stopped = true;
       },
-      hears: (from, frame) => this.#hear(from, frame),
-      closed: (from) => {
+      onFrame: (from, frame) => this.#hear(from, frame),
+      onPeerClosed: (from) => {
         const peer = this.#sensed.get(from);
         if (peer !== undefined) peer.closed = true;
         this.#soon();
       },
-      strayed: (...args) => this.#strayed(...args),
-      doubts: (name) => this.doubts(name),
+      onMisroutedReport: (...args) => this.#strayed(...args),
+      isSuspected: (name) => this.doubts(name),
       status: () => ({ controllers: this.status() }),
       metrics: () => this.metrics(),
     };
@@ -284,11 +284,12 @@
   }
 
   /** A machine that had followed the owner of a part, under its present claim, came here. */
-  #strayed(part: number, machine: string, token: number, mark: Mark): void {
+  #strayed(part: number, machine: string, token: number, mark: ReportPosition): void {
     const { mirror, claims, clock } = this.core;
     const owner = claims.ownerOf(part);
     const claim = mirror.rows.get(keys.claim(part));
-    if (owner === null || claim === undefined || token !== tokenOf(mirror, claim.version)) return;
+    if (owner === null || claim === undefined || token !== fencingTokenOf(mirror, claim.version))
+      return;
     this.#sensed.get(owner)?.strayed(machine, mark, clock.now());
   }
 
--- a/src/suspicion/index.ts
+++ b/src/suspicion/index.ts
@@ -4,7 +4,12 @@
  * settings (`deploy/suspicion.textproto`) or by `--suspicion`; `docs/failure.md` says how it works,
  * who notices what how soon, and what its states mean.
  */
-import { type Attachment, type Core, type Extension, without } from "../extension/index.js";
+import {
+  type Attachment,
+  type Core,
+  controllersWithoutPackage,
+  type Extension,
+} from "../extension/index.js";
 import type { PackageDoor } from "../settings/door.js";
 import { FailureDetector } from "./failure-detector.js";
 import { parseAccusation } from "./records.js";
@@ -40,8 +45,11 @@
   attach(core: Core): Attachment {
     core.store.writable.add(/^w\/a\//, (value) => parseAccusation(value) !== null);
     // One without this package cannot refute, so it is not accused: its lease decides.
-    return new FailureDetector(core, this.timing, (name) => !without(NAME, core).includes(name))
-      .attachment;
+    return new FailureDetector(
+      core,
+      this.timing,
+      (name) => !controllersWithoutPackage(NAME, core).includes(name),
+    ).attachment;
   }
 }
 
--- a/src/suspicion/peers.ts
+++ b/src/suspicion/peers.ts
@@ -1,4 +1,4 @@
-import { type Mark, newer } from "../workers/evidence.js";
+import { isNewerReport, type ReportPosition } from "../workers/report-classification.js";
 import { Intervals } from "./intervals.js";
 import type { Ground, Testimony } from "./judge.js";
 import type { Timing } from "./settings.js";
@@ -27,7 +27,7 @@
   notBefore = Number.NEGATIVE_INFINITY;
   readonly #strays = new Map<string, number>();
   /** The newest report by which each came here: a copy of one, however late, is no other witness. */
-  readonly #marks = new Map<string, Mark>();
+  readonly #marks = new Map<string, ReportPosition>();
   readonly #said = new Map<string, Said>();
 
   constructor(
@@ -57,9 +57,9 @@
     this.closed = false;
   }
 
-  strayed(machine: string, mark: Mark, now: number): void {
+  strayed(machine: string, mark: ReportPosition, now: number): void {
     const known = this.#marks.get(machine);
-    if (known !== undefined && !newer(mark, known)) return;
+    if (known !== undefined && !isNewerReport(mark, known)) return;
     const { session, seq } = mark;
     this.#marks.set(machine, { session, seq });
     this.#strays.set(machine, now);
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -1,9 +1,9 @@
-import type { Live } from "../jobs/chunk.js";
+import type { Allocation } from "../jobs/chunk.js";
 import type { MachineType } from "../wire/cloud.js";
 import type { JobSpec } from "../wire/jobs.js";
-import type { Mark } from "./evidence.js";
+import type { ReportPosition } from "./report-classification.js";
 
-export interface Room {
+export interface Resources {
   cpus: number;
   gpus: number;
   memGb: number;
@@ -14,22 +14,22 @@
   type = "";
   zone = "";
   spot = false;
-  slot: object | null = null;
+  matcherCache: object | null = null;
   address = "";
   session = 0;
   seq = -1;
   /** The newest report that was taken for anything, also before it followed us; null: none. */
-  latest: Mark | null = null;
+  latest: ReportPosition | null = null;
   /**
    * Since when answers may not reach it: its reports come, but show that none was taken for long.
    * No room, until it has taken one; null: it hears.
    */
-  deafSince: number | null = null;
+  unreachableSince: number | null = null;
   /**
    * Whether its worker has reported with our token. Before that, an answer of an earlier owner
    * may still reach it, so its list proves nothing.
    */
-  current = false;
+  hasOurToken = false;
   lastSeen: number;
   noticeS: number | null = null;
   idleSince: number;
@@ -37,16 +37,16 @@
   retired: string | null = null;
   /** Jobs that failed here since the last success. */
   readonly failedJobs = new Set<string>();
-  readonly live = new Map<string, Live>();
+  readonly allocations = new Map<string, Allocation>();
   /** Tasks that it lists and that are not ours to count: they take room until they are gone. */
-  strays: JobSpec[] = [];
+  unknownTasks: JobSpec[] = [];
   readonly images = new Set<string>();
   /**
    * Room that is being cleared for a job. Without this, smaller tasks took what was freed before
    * there was enough of it, and the same tasks were stopped for the same job again and again.
    */
   readonly reserved = new Map<string, { tasks: number; spec: JobSpec; until: number }>();
-  #room: Room | null = null;
+  #room: Resources | null = null;
 
   constructor(
     readonly id: string,
@@ -56,41 +56,46 @@
     this.idleSince = now;
   }
 
-  touched(): void {
+  invalidateFreeResources(): void {
     this.#room = null;
   }
 
-  /** `room`, for searches over all machines: the type is looked up only when something has changed. */
-  roomIn(types: ReadonlyMap<string, MachineType>): Room {
-    return this.#room ?? this.room(types.get(this.type));
+  /** `freeResources`, for searches over all machines: the type is looked up only when something has changed. */
+  freeResourcesIn(types: ReadonlyMap<string, MachineType>): Resources {
+    return this.#room ?? this.freeResources(types.get(this.type));
   }
 
-  room(type: MachineType | undefined): Room {
+  freeResources(type: MachineType | undefined): Resources {
     if (type === undefined) return { cpus: 0, gpus: 0, memGb: 0 };
     if (this.#room !== null) return this.#room;
-    const room: Room = { cpus: type.cpus, gpus: type.gpus, memGb: type.memGb };
-    for (const live of this.live.values()) give(room, live.chunk.spec, -1);
-    for (const spec of this.strays) give(room, spec, -1);
+    const room: Resources = { cpus: type.cpus, gpus: type.gpus, memGb: type.memGb };
+    for (const live of this.allocations.values()) addResources(room, live.chunk.spec, -1);
+    for (const spec of this.unknownTasks) addResources(room, spec, -1);
     this.#room = room;
     return room;
   }
 }
 
-export function give(room: Room, spec: JobSpec, times: number): void {
+export function addResources(room: Resources, spec: JobSpec, times: number): void {
   room.cpus += times * spec.cpus;
   room.gpus += times * spec.gpus;
   room.memGb += times * spec.memGb;
 }
 
 /** `room` less what is reserved for other jobs than `job`. */
-export function unreserved(room: Room, machine: Machine, job: string | null): Room {
+export function withoutReservations(
+  room: Resources,
+  machine: Machine,
+  job: string | null,
+): Resources {
   if (machine.reserved.size === 0) return room;
   const left = { ...room };
-  for (const [id, { tasks, spec }] of machine.reserved) if (id !== job) give(left, spec, -tasks);
+  for (const [id, { tasks, spec }] of machine.reserved)
+    if (id !== job) addResources(left, spec, -tasks);
   return left;
 }
 
-export const fitsRoom = (room: Room, size: Room): boolean =>
+export const fitsResources = (room: Resources, size: Resources): boolean =>
   size.cpus <= room.cpus + 1e-6 && size.gpus <= room.gpus + 1e-6 && size.memGb <= room.memGb + 1e-6;
 
 /** Machines that do not differ in these do not differ for a job, but for their room. */
@@ -99,11 +104,11 @@
   zone: string;
   spot: boolean;
   /** What a package has found out about its kind, kept where it is asked for most. */
-  slot?: object | null;
+  matcherCache?: object | null;
 }
 
 /** Whether a machine of this kind may run the job, as far as the job names types, zone and kind. */
-export const allowed = (spec: JobSpec, machine: MachineKind): boolean =>
+export const kindAllowed = (spec: JobSpec, machine: MachineKind): boolean =>
   // With expressions, it is these that say which types will do.
   (spec.match !== undefined || spec.types === null || spec.types.includes(machine.type)) &&
   (spec.zone === null || spec.zone === machine.zone) &&
--- a/src/workers/evidence.ts
+++ b/src/workers/report-classification.ts
@@ -1,18 +1,18 @@
 /** Where a report stands among a worker's messages: the larger (session, sequence) is the newer one. */
-export interface Mark {
+export interface ReportPosition {
   session: number;
   seq: number;
 }
 
-export const newer = (a: Mark, b: Mark): boolean =>
+export const isNewerReport = (a: ReportPosition, b: ReportPosition): boolean =>
   a.session > b.session || (a.session === b.session && a.seq > b.seq);
 
 /** What an owner knows of a machine when a report of its comes. */
-export interface Known {
+export interface MachineReportState {
   /** The newest report that was taken for anything, under whatever token; null: none yet. */
-  latest: Mark | null;
+  latest: ReportPosition | null;
   /** Whether a report has come under our own token. */
-  current: boolean;
+  hasOurToken: boolean;
   lastSeen: number;
 }
 
@@ -36,7 +36,7 @@
  * That a report was answered says nothing: answers may not get through (a machine that is deaf, a
  * controller whose answers are lost).
  */
-export type Weight =
+export type ReportClass =
   /** Its worker has seen a later owner's token: an answer of ours would hold it here. */
   | { kind: "foreign" }
   /** A copy, or held back and overtaken: nothing in it counts. */
@@ -47,24 +47,24 @@
   | { kind: "proof"; hears: boolean; misses: boolean };
 
 /** A worker gives a report up after this time without an answer (PROTOCOL, "Workers"). */
-export const PATIENCE_MS = 4000;
+export const REPORT_TIMEOUT_MS = 4000;
 
-export function weigh(
-  report: Mark & { token: number },
-  known: Known,
+export function classifyReport(
+  report: ReportPosition & { token: number },
+  known: MachineReportState,
   token: number,
   now: number,
   { leaseMs, reportMs }: Times,
-): Weight {
+): ReportClass {
   if (report.token > token) return { kind: "foreign" };
-  const { latest, current } = known;
-  if (latest !== null && !newer(report, latest)) return { kind: "old" };
+  const { latest, hasOurToken: current } = known;
+  if (latest !== null && !isNewerReport(report, latest)) return { kind: "old" };
   if (report.token < token) return { kind: "unaware" };
   // Nobody but us gives it our token.
   if (!current || latest === null) return { kind: "proof", hears: true, misses: false };
   const gapMs = now - known.lastSeen;
   const next = report.session === latest.session && report.seq === latest.seq + 1;
-  const hears = next && gapMs < Math.max(PATIENCE_MS, 1.5 * reportMs);
+  const hears = next && gapMs < Math.max(REPORT_TIMEOUT_MS, 1.5 * reportMs);
   // One that was turned away for a moment comes back within seconds. After half a lease, or in a
   // new session, it had not heard us for longer than that, whoever's fault it was.
   const misses = !hears && (report.session !== latest.session || gapMs > leaseMs / 2);
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -14,7 +14,7 @@
   let worst = 0;
   let passed = 0;
   const ask = (name: string): void => {
-    if (admission.pass(name)) {
+    if (admission.admit(name)) {
       passed++;
       worst = Math.max(worst, clock.now() - (passedAt.get(name) ?? 0));
       passedAt.set(name, clock.now());
@@ -28,7 +28,7 @@
   // Others ask once for something else each time, and never come back.
   let others = 0;
   const once = (): void => {
-    admission.pass(`x${others++}`);
+    admission.admit(`x${others++}`);
     clock.after(1000 / strangers, once);
   };
   if (strangers > 0) once();
@@ -66,12 +66,12 @@
     fc.property(fc.integer({ min: 2, max: 30 }), fc.integer({ min: 1, max: 5 }), (count, rate) => {
       const clock = new FakeClock();
       const admission = new Admission(rate, clock);
-      while (admission.pass("first to empty it"));
+      while (admission.admit("first to empty it"));
       const names = Array.from({ length: count }, (_, n) => `j${n}`);
       const passed: string[] = [];
       for (let round = 0; round < 200 && passed.length < count; round++) {
         for (const name of names) {
-          if (!passed.includes(name) && admission.pass(name)) passed.push(name);
+          if (!passed.includes(name) && admission.admit(name)) passed.push(name);
         }
         void clock.run(100);
       }
--- a/test/archive-model.test.ts
+++ b/test/archive-model.test.ts
@@ -11,21 +11,21 @@
   Mover,
 } from "../src/archive/index.js";
 import { History } from "../src/controller/history.js";
+import { JobApi } from "../src/controller/job-api.js";
 import { Refusals } from "../src/controller/refusals.js";
-import { Users } from "../src/controller/users.js";
 import type { Core } from "../src/extension/index.js";
 import type { Reply } from "../src/http/server.js";
-import { doneHeader, type Header, isHeader, tidied } from "../src/jobs/header.js";
-import type { Past } from "../src/jobs/past.js";
+import { doneHeader, isHeader, type JobHeader, withPartReleased } from "../src/jobs/job-header.js";
+import type { JobOutcome } from "../src/jobs/job-outcome.js";
 import { StateService } from "../src/local/state.js";
 import { Layout } from "../src/membership/layout.js";
 import { Metrics } from "../src/metrics.js";
 import { Summaries } from "../src/part/summary.js";
 import { Pipelines } from "../src/pipeline/index.js";
-import { HEADERS, keys } from "../src/state/keys.js";
+import { JOB_HEADER_PREFIX, keys } from "../src/state/keys.js";
 import { Mirror } from "../src/state/mirror.js";
 import type { Change, Condition, Row } from "../src/state/store.js";
-import { Places } from "../src/workers/places.js";
+import { PlacementConstraints } from "../src/workers/placement-constraints.js";
 import { FakeClock } from "./support/clock.js";
 import { ALONE, bodyOf, LIMITS, quiet } from "./support/common.js";
 import { type Choices, ChosenStore, explore, type Scene, Wire } from "./support/explore.js";
@@ -39,7 +39,7 @@
 const NEW = "wk-0006";
 const WALL = 1_700_000_000_000;
 
-const over: Past = { status: "done", tasks: 1, done: 1, at: WALL, over: WALL, team: "red" };
+const over: JobOutcome = { status: "done", tasks: 1, done: 1, at: WALL, over: WALL, team: "red" };
 
 const body = (id: string): object => ({
   ...{ uid: id, eidos: "t", owner: "red", shape: "batch", urgency: "normal", pieces: 1, cores: 1 },
@@ -47,7 +47,7 @@
   ...{ stashEveryS: 0, stashS: 0 },
 });
 
-const open: Header = {
+const open: JobHeader = {
   ...{ status: "open", spec: plainSpec, owners: "0", chunkSize: 1, at: WALL, started: true },
   ...{ moves: 0, tasks: 1 },
 };
@@ -94,14 +94,14 @@
     this.state.transact([], [{ put: key, value }]);
   }
 
-  header(id: string, value: Header): void {
+  header(id: string, value: JobHeader): void {
     this.put(keys.job(id), value);
     this.accepted.add(id);
     if (value.status !== "open") this.final.set(id, value.status);
   }
 
   /** A controller that has heard all there is now, and hears nothing more. */
-  controller(who: string): { core: Core; users: Users; lookups: Lookups; history: History } {
+  controller(who: string): { core: Core; users: JobApi; lookups: Lookups; history: History } {
     const store = new ChosenStore(this.wire, who, SMALL, this.clock);
     const mirror = new Mirror(store, this.clock, quiet, 1000);
     const room = { cpus: 4, gpus: 0, memGb: 8, bootS: 1, zones: ["a"], price: 1, spotPrice: 1 };
@@ -132,27 +132,27 @@
     }
     mirror.ready = true;
     // What it waits to hear it does hear, though nothing else of it.
-    mirror.reached = async () => {
+    mirror.waitForRevision = async () => {
       const row = this.state.rows.get(keys.schema);
       if (row !== undefined) mirror.apply({ key: keys.schema, ...row, deleted: false });
     };
-    mirror.current = async () => {
+    mirror.waitUntilCurrent = async () => {
       // One request that tells of every change until it is executed.
-      const { rows, revision } = await store.list(HEADERS);
+      const { rows, revision } = await store.list(JOB_HEADER_PREFIX);
       const present = new Set(rows.map(({ key }) => key));
       for (const row of rows) mirror.apply({ ...row, deleted: false });
       for (const key of mirror.rows.keys()) {
-        const gone = key.startsWith(HEADERS) && !present.has(key);
+        const gone = key.startsWith(JOB_HEADER_PREFIX) && !present.has(key);
         if (gone) mirror.apply({ key, value: undefined, version: revision, deleted: true });
       }
     };
     const most = new Map([["red", { cpus: 8, gpus: 0 }]]);
     const metrics = new Metrics(this.clock, 1e9);
     const refusals = new Refusals(new Set(most.keys()), this.clock, quiet, metrics, 1000);
-    const places = new Places(null);
+    const places = new PlacementConstraints(null);
     const lookUp = (id: string) => history.find(id);
     const pipelines = new Pipelines(mirror, store, this.clock, quiet, 1000, lookUp);
-    const users = new Users(
+    const users = new JobApi(
       core,
       (team) => most.get(team),
       new Map(),
@@ -189,8 +189,8 @@
     });
   }
 
-  get archived(): Map<string, Past> {
-    const found = new Map<string, Past>();
+  get archived(): Map<string, JobOutcome> {
+    const found = new Map<string, JobOutcome>();
     let from = "";
     for (const key of [...this.state.rows.keys()].filter((k) => k.startsWith("a/j/")).sort()) {
       const leaf = decodeLeaf({ key, ...this.state.rows.get(key)! });
@@ -313,7 +313,7 @@
         const row = await store.get(key);
         if (row === null || !isHeader(row.value) || row.value.status !== "cancelled") return;
         // It has nothing left of it, and says so.
-        const change = [{ put: key, value: tidied(row.value, 0) }];
+        const change = [{ put: key, value: withPartReleased(row.value, 0) }];
         await store.transact([{ key, version: row.version }], change).catch(() => undefined);
         if (stage.state.rows.has(key)) await stage.mover("leader", stage.rows(X), 1)();
       };
--- a/test/archive-world.test.ts
+++ b/test/archive-world.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { decodeLeaf, lastOf } from "../src/archive/index.js";
 import type { ArchiveOptions } from "../src/controller/index.js";
-import { isHeader } from "../src/jobs/header.js";
+import { isHeader } from "../src/jobs/job-header.js";
 import { fault } from "./support/faults.js";
 import { Random } from "./support/random.js";
 import { World } from "./support/world.js";
--- a/test/archive.test.ts
+++ b/test/archive.test.ts
@@ -17,10 +17,15 @@
   planMove,
 } from "../src/archive/index.js";
 import { Shared } from "../src/archive/shared.js";
-import { Gone } from "../src/controller/gone.js";
-import { doneHeader, type Header, isTidy, tidied } from "../src/jobs/header.js";
-import { sizeOf } from "../src/jobs/page.js";
-import type { Past } from "../src/jobs/past.js";
+import { GoneMachines } from "../src/controller/gone-machines.js";
+import { jsonBytes } from "../src/jobs/chunk-page.js";
+import {
+  doneHeader,
+  isFullyReleased,
+  type JobHeader,
+  withPartReleased,
+} from "../src/jobs/job-header.js";
+import type { JobOutcome } from "../src/jobs/job-outcome.js";
 import type { StateService } from "../src/local/state.js";
 import { keys } from "../src/state/keys.js";
 import { Mirror } from "../src/state/mirror.js";
@@ -31,7 +36,7 @@
 import { Year } from "./support/year.js";
 
 const ID = fc.stringMatching(/^wk-[0-9A-Za-z][0-9A-Za-z_.-]{0,12}$/);
-const PAST: fc.Arbitrary<Past> = fc
+const PAST: fc.Arbitrary<JobOutcome> = fc
   .record({
     status: fc.constantFrom("done" as const, "cancelled" as const),
     tasks: fc.integer({ min: 1, max: 100_000 }),
@@ -52,7 +57,7 @@
   .uniqueArray(fc.tuple(ID, PAST), { selector: ([id]) => id, maxLength: 40 })
   .map((list) => list.sort(([a], [b]) => (a < b ? -1 : 1)) as Entry[]);
 
-const ended = (tasks: number, at: number, over: number | null): Past => ({
+const ended = (tasks: number, at: number, over: number | null): JobOutcome => ({
   ...{ status: "done", tasks, done: tasks },
   ...{ at, over, team: "red" },
 });
@@ -81,7 +86,7 @@
       { status: "done", tasks, done: tasks, at, over, team },
     ];
   });
-  const bytes = sizeOf(encodeLeaf("", entries)) / entries.length;
+  const bytes = jsonBytes(encodeLeaf("", entries)) / entries.length;
   assert.ok(bytes < 19, `${bytes} bytes a job`);
 });
 
@@ -132,7 +137,7 @@
   );
 });
 
-const headerOf = ({ status, tasks, at, over, team }: Past): Header => ({
+const headerOf = ({ status, tasks, at, over, team }: JobOutcome): JobHeader => ({
   ...{ status, owners: "", chunkSize: 1, at, started: true, moves: 0, tasks },
   ...(over === null ? {} : { over }),
   ...(team === null ? {} : { team }),
@@ -152,7 +157,7 @@
         const limits = { changes, leafBytes: most, txnBytes: 48 * 1024 };
         const move = planMove(leaf, rows, limits);
         // A leaf within its size takes something at least: it becomes two at the most.
-        const full = sizeOf(encodeLeaf("", kept)) > most;
+        const full = jsonBytes(encodeLeaf("", kept)) > most;
         if (move === null) return assert.ok(fresh.length === 0 || full);
         assert.deepEqual(
           move.doubled.map(({ key }) => key.slice(4)),
@@ -166,7 +171,7 @@
           assert.equal(begins, from);
           assert.equal(key, leafKey(last));
           for (const [id] of entries) assert.ok(covers({ from, last }, id));
-          if (entries.length > 1) assert.ok(sizeOf(encodeLeaf(from, entries)) <= most);
+          if (entries.length > 1) assert.ok(jsonBytes(encodeLeaf(from, entries)) <= most);
           all.push(...entries);
           from = last;
         }
@@ -199,26 +204,28 @@
     assert.equal(move.moved.length, 10);
     leaves = [...leaves.slice(0, -1), ...move.leaves.map((leaf) => ({ ...leaf, version: i }))];
   }
-  const sizes = leaves.slice(0, -1).map(({ from, entries }) => sizeOf(encodeLeaf(from, entries)));
+  const sizes = leaves
+    .slice(0, -1)
+    .map(({ from, entries }) => jsonBytes(encodeLeaf(from, entries)));
   const mean = sizes.reduce((sum, size) => sum + size, 0) / sizes.length;
   assert.ok(mean > limits.leafBytes * 0.8, `${mean} of ${limits.leafBytes}`);
 });
 
 test("cancelled jobs: over for good once no part has anything of them", () => {
-  const spec = { team: "red" } as Header["spec"];
-  const header: Header = {
+  const spec = { team: "red" } as JobHeader["spec"];
+  const header: JobHeader = {
     ...headerOf({ status: "cancelled", tasks: 3, done: 0, at: 0, over: 5, team: null }),
     owners: "0x1",
     spec,
   };
-  assert.ok(!isTidy(header));
-  const half = tidied(header, 1);
+  assert.ok(!isFullyReleased(header));
+  const half = withPartReleased(header, 1);
   assert.equal(half.owners, "0x-");
-  assert.ok(!isTidy(half) && half.spec !== undefined, "part 0 may still run by it");
-  const all = tidied(half, 0);
-  assert.ok(isTidy(all));
+  assert.ok(!isFullyReleased(half) && half.spec !== undefined, "part 0 may still run by it");
+  const all = withPartReleased(half, 0);
+  assert.ok(isFullyReleased(all));
   assert.deepEqual([all.spec, all.team], [undefined, "red"]);
-  assert.ok(isTidy(doneHeader(header, 7)));
+  assert.ok(isFullyReleased(doneHeader(header, 7)));
 });
 
 test("a year, in small: jobs in no order, each found again at any later time", async () => {
@@ -460,7 +467,10 @@
   const version = state.revision - 1;
   await clock.run(1500);
   // Read before it was deleted, answered after.
-  mirror.learn({ key: "w/k/2999", value: 2999, version, deleted: false }, mirror.mark());
+  mirror.applyIfNotRelisted(
+    { key: "w/k/2999", value: 2999, version, deleted: false },
+    mirror.listingEpoch(),
+  );
   assert.equal(mirror.rows.size, 0, "a deleted key has come back");
   await clock.run(300_000);
   assert.equal(mirror.remembered, 0);
@@ -471,12 +481,12 @@
   const { clock, state, mirror } = watched(0);
   state.transact([], [{ put: "w/j/x", value: "open" }]);
   const early = { key: "w/j/x", value: "open", version: state.revision, deleted: false };
-  const mark = mirror.mark();
+  const mark = mirror.listingEpoch();
   state.transact([], [{ put: "w/j/x", value: "done" }]);
-  mirror.passes = ({ value }) => value === "done";
+  mirror.skipsRow = ({ value }) => value === "done";
   void mirror.run();
   await clock.run(1000);
-  mirror.learn(early, mark);
+  mirror.applyIfNotRelisted(early, mark);
   assert.equal(mirror.rows.get("w/j/x"), undefined, "an older state of it is in memory now");
   mirror.stop();
 });
@@ -484,7 +494,7 @@
 test("returned machines: known while their record is there", () => {
   const { mirror } = watched(0);
   const told: string[] = [];
-  const gone = new Gone(mirror, (machines) => told.push(...machines));
+  const gone = new GoneMachines(mirror, (machines) => told.push(...machines));
   mirror.apply({ key: "w/g/1-1", value: ["a", "b"], version: 1, deleted: false });
   mirror.apply({ key: "w/g/1-2", value: ["c"], version: 2, deleted: false });
   assert.deepEqual([...gone.machines], ["a", "b", "c"]);
--- a/test/court-model.test.ts
+++ b/test/court-model.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { Handover } from "../src/membership/handover.js";
 import { Layout } from "../src/membership/layout.js";
-import { Standings } from "../src/membership/standing.js";
+import { ControllerStability } from "../src/membership/stability.js";
 import { keys } from "../src/state/keys.js";
 import { Mirror } from "../src/state/mirror.js";
 import type { Condition } from "../src/state/store.js";
@@ -14,7 +14,7 @@
 /**
  * An accuser judges a controller that may be alive: it commits, refutes, hands its part over by
  * itself, or ends. Every order of their writes is gone through, with answers lost and transactions
- * applied late, or twice. The accuser's write is the real one (`Handover.inherit`).
+ * applied late, or twice. The accuser's write is the real one (`Handover.reassign`).
  */
 interface Guards {
   /** Conditions that the verdict leaves out. */
@@ -95,9 +95,9 @@
             store: ours,
             mirror,
             log: quiet,
-            standings: new Standings(mirror, clock, 1000),
+            stability: new ControllerStability(mirror, clock, 1000),
             owned: new Map(),
-            leaderStamp: null,
+            leaderClaimVersion: null,
             leaderKey: keys.leader,
           },
           {
@@ -111,7 +111,7 @@
         if (without !== "presence") when.push({ key: keys.node("x"), version: stamps.presence });
         const lease = leases.get("s1")!;
         await handover
-          .inherit("x", "x1", when, [{ put: ACCUSATION, value, lease }])
+          .reassign("x", "x1", when, [{ put: ACCUSATION, value, lease }])
           .catch(() => false);
         // Its own claim, once it has heard of it: then it commits, as the owner.
         const row = await ours.get(CLAIM);
--- a/test/evidence.test.ts
+++ b/test/evidence.test.ts
@@ -1,26 +1,30 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { parseReport } from "../src/wire/workers.js";
-import { type Known, type Weight, weigh } from "../src/workers/evidence.js";
+import {
+  classifyReport,
+  type MachineReportState,
+  type ReportClass,
+} from "../src/workers/report-classification.js";
 
 const LEASE = 12_000;
 const TOKEN = 7;
 const NOW = 100_000;
 
 /** The machine's newest report came `ago` before, under our token or not. */
-const known = (ago: number, more: Partial<Known> = {}): Known => ({
+const known = (ago: number, more: Partial<MachineReportState> = {}): MachineReportState => ({
   latest: { session: 2, seq: 40 },
-  current: true,
+  hasOurToken: true,
   lastSeen: NOW - ago,
   ...more,
 });
-const proof = (hears: boolean, misses = false): Weight => ({ kind: "proof", hears, misses });
+const proof = (hears: boolean, misses = false): ReportClass => ({ kind: "proof", hears, misses });
 
 const cases: {
   name: string;
-  known: Known;
+  known: MachineReportState;
   report: [session: number, seq: number, token?: number];
-  weight: Weight;
+  weight: ReportClass;
 }[] = [
   { name: "the next report in its time", known: known(2000), report: [2, 41], weight: proof(true) },
   { name: "the same once more", known: known(100), report: [2, 40], weight: { kind: "old" } },
@@ -38,19 +42,19 @@
   },
   {
     name: "a copy under an earlier owner's token, after the machine has come",
-    known: known(100, { current: false }),
+    known: known(100, { hasOurToken: false }),
     report: [2, 39, 5],
     weight: { kind: "old" },
   },
   {
     name: "a copy that reaches a new owner before the machine does: it proves nothing",
-    known: { latest: null, current: false, lastSeen: 0 },
+    known: { latest: null, hasOurToken: false, lastSeen: 0 },
     report: [2, 39, 5],
     weight: { kind: "unaware" },
   },
   {
     name: "the first under our token",
-    known: known(1000, { current: false }),
+    known: known(1000, { hasOurToken: false }),
     report: [2, 41],
     weight: proof(true),
   },
@@ -85,7 +89,7 @@
   test(`evidence: ${name}`, () => {
     const [session, seq, token = TOKEN] = report;
     const times = { leaseMs: LEASE, reportMs: 2000 };
-    assert.deepEqual(weigh({ session, seq, token }, known, TOKEN, NOW, times), weight);
+    assert.deepEqual(classifyReport({ session, seq, token }, known, TOKEN, NOW, times), weight);
   });
 }
 
--- a/test/guests.test.ts
+++ b/test/guests.test.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { Refusals } from "../src/controller/refusals.js";
+import { ROOT, ShareTree } from "../src/fair/share.js";
 import {
-  type Asker,
+  canPreemptFrom,
   chooseVictims,
-  mayConcern,
-  mayStop,
+  type Preemptor,
+  preemptionReason,
   type Victim,
-} from "../src/fair/preempt.js";
-import { ROOT, Tree } from "../src/fair/share.js";
+} from "../src/fair/victim-selection.js";
 import { Metrics } from "../src/metrics.js";
 import type { Summary } from "../src/part/summary.js";
 import { decodeFrame, encodeFrame } from "../src/peer/frames.js";
@@ -20,8 +20,8 @@
 const cpus = (n: number) => ({ cpus: n, gpus: 0 });
 
 /** 100 CPUs guaranteed to `own`, none to `guests`; what each uses. */
-function shared(own: number, guests: number): Tree {
-  const tree = new Tree([
+function shared(own: number, guests: number): ShareTree {
+  const tree = new ShareTree([
     { name: ROOT, parent: null, weight: 1, nominal: cpus(100) },
     { name: "own", parent: ROOT, weight: 1, nominal: cpus(100) },
     { name: "guests", parent: ROOT, weight: 1, nominal: cpus(0) },
@@ -49,22 +49,22 @@
 ];
 for (const { name, own, guests, lent = true, patience = 0, rank = 0, want } of cases) {
   test(`lent room is given back: ${name}`, () => {
-    const asker: Asker = {
+    const asker: Preemptor = {
       team: "own",
       rank: 1,
       size: cpus(1),
-      entitled: own < 100,
-      patience,
-      evenPatience: -1,
+      withinGuarantee: own < 100,
+      maxLoss: patience,
+      maxFairLoss: -1,
     };
     const victim: Victim = { id: "v", team: "guests", rank, size: cpus(1), loss: 20_000 };
     if (lent) victim.lent = true;
-    assert.equal(mayStop(shared(own, guests), asker, victim), want);
+    assert.equal(preemptionReason(shared(own, guests), asker, victim), want);
   });
 }
 
 test("lent room: it goes before what others would lose, whatever the shares", () => {
-  const tree = new Tree([
+  const tree = new ShareTree([
     { name: ROOT, parent: null, weight: 1, nominal: cpus(100) },
     { name: "own", parent: ROOT, weight: 1, nominal: cpus(80) },
     { name: "light", parent: ROOT, weight: 0.5, nominal: cpus(20) },
@@ -73,13 +73,13 @@
   tree.charge("light", cpus(60));
   tree.charge("guests", cpus(30));
   assert.ok(tree.share("light") > tree.share("guests"));
-  const asker: Asker = {
+  const asker: Preemptor = {
     team: "own",
     rank: 1,
     size: cpus(1),
-    entitled: true,
-    patience: 0,
-    evenPatience: -1,
+    withinGuarantee: true,
+    maxLoss: 0,
+    maxFairLoss: -1,
   };
   const victims: Victim[] = [
     { id: "a", team: "light", rank: 0, size: cpus(1), loss: 0 },
@@ -94,20 +94,20 @@
 
 test("lent room: who has no guarantee has nobody else's task stopped, and its own by priority", () => {
   const tree = shared(170, 10);
-  const asker: Asker = {
+  const asker: Preemptor = {
     team: "guests",
     rank: 3,
     size: cpus(1),
-    entitled: false,
-    patience: 1e9,
-    evenPatience: 1e9,
+    withinGuarantee: false,
+    maxLoss: 1e9,
+    maxFairLoss: 1e9,
   };
   const own: Victim = { id: "v", team: "own", rank: 0, size: cpus(1), loss: 0 };
-  assert.equal(mayStop(tree, asker, own), "fair", "or it would by its share");
+  assert.equal(preemptionReason(tree, asker, own), "fair", "or it would by its share");
   const borrower = { ...asker, borrower: true };
-  assert.equal(mayStop(tree, borrower, own), null);
-  assert.ok(!mayConcern(tree, borrower, "own", true));
-  assert.equal(mayStop(tree, borrower, { ...own, team: "guests" }), "priority");
+  assert.equal(preemptionReason(tree, borrower, own), null);
+  assert.ok(!canPreemptFrom(tree, borrower, "own", true));
+  assert.equal(preemptionReason(tree, borrower, { ...own, team: "guests" }), "priority");
 });
 
 test("lent room: nothing dear is rented for it, as it is for the others", async () => {
@@ -132,7 +132,7 @@
 test("lent room: a gang of guests leaves the tenth as well", () => {
   const type = { cpus: 4, gpus: 0, memGb: 64, price: 1, spotPrice: 1, bootS: 10, zones: ["a"] };
   const bench = new PlacingBench(new Map([["m4", { name: "m4", ...type }]]), null, ["guests"]);
-  bench.ctx.lentTo = () => true;
+  bench.ctx.isBorrower = () => true;
   for (let i = 0; i < 10; i++) bench.machine(`m${i}`, "m4", "a", true);
   const large = bench.job({ team: "guests", kind: "gang", tasks: 40 });
   const fits = bench.job({ team: "guests", kind: "gang", tasks: 36 });
@@ -144,7 +144,7 @@
 function lending(machines: number, teams: string[]): PlacingBench {
   const type = { cpus: 4, gpus: 0, memGb: 64, price: 1, spotPrice: 1, bootS: 10, zones: ["a"] };
   const bench = new PlacingBench(new Map([["m4", { name: "m4", ...type }]]), null, teams);
-  bench.ctx.lentTo = (team) => team === "guests";
+  bench.ctx.isBorrower = (team) => team === "guests";
   for (let i = 0; i < machines; i++) bench.machine(`m${i}`, "m4", "a", true);
   return bench;
 }
--- a/test/image-world.test.ts
+++ b/test/image-world.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { checkImage, collect, type Image, restoreImage } from "../src/image/index.js";
-import { isHeader } from "../src/jobs/header.js";
+import { isHeader } from "../src/jobs/job-header.js";
 import { Random } from "./support/random.js";
 import { World } from "./support/world.js";
 
--- a/test/image.test.ts
+++ b/test/image.test.ts
@@ -22,12 +22,12 @@
   writeImage,
 } from "../src/image/index.js";
 import { restorable } from "../src/image/restore.js";
-import type { Past } from "../src/jobs/past.js";
+import type { JobOutcome } from "../src/jobs/job-outcome.js";
 import type { StateService } from "../src/local/state.js";
 import { Random } from "./support/random.js";
 import { service } from "./support/store.js";
 
-const past = (status: Past["status"]): Past => ({
+const past = (status: JobOutcome["status"]): JobOutcome => ({
   status,
   tasks: 3,
   done: status === "done" ? 3 : 1,
--- a/test/market-day.test.ts
+++ b/test/market-day.test.ts
@@ -2,8 +2,13 @@
 import { test } from "node:test";
 import { build } from "esbuild";
 import { Fleet } from "../src/cloud/fleet.js";
-import { type Asker, chooseVictims, mayStop, type Victim } from "../src/fair/preempt.js";
-import { ROOT, Tree } from "../src/fair/share.js";
+import { ROOT, ShareTree } from "../src/fair/share.js";
+import {
+  chooseVictims,
+  type Preemptor,
+  preemptionReason,
+  type Victim,
+} from "../src/fair/victim-selection.js";
 import { reportHtml } from "../src/market/report.js";
 import { Summaries, type Summary } from "../src/part/summary.js";
 import { Mirror } from "../src/state/mirror.js";
@@ -31,27 +36,27 @@
 
 // ---- who yields -----------------------------------------------------------------------------
 
-const treeOf = (use: Record<string, number>): Tree => {
+const treeOf = (use: Record<string, number>): ShareTree => {
   const groups = ["red", "blue", "visitor"].map((name) => ({
     name,
     parent: ROOT,
     weight: 1,
     nominal: { cpus: name === "visitor" ? 0 : 8, gpus: 0 },
   }));
-  const tree = new Tree([
+  const tree = new ShareTree([
     { name: ROOT, parent: null, weight: 1, nominal: { cpus: 16, gpus: 0 } },
     ...groups,
   ]);
   for (const [team, cpus] of Object.entries(use)) tree.charge(team, { cpus, gpus: 0 });
   return tree;
 };
-const asker: Asker = {
+const asker: Preemptor = {
   team: "red",
   rank: 0,
   size: { cpus: 2, gpus: 0 },
-  entitled: false,
-  patience: -1,
-  evenPatience: -1,
+  withinGuarantee: false,
+  maxLoss: -1,
+  maxFairLoss: -1,
 };
 const victim = (id: string, team: string, yields?: number): Victim => ({
   id,
@@ -59,13 +64,13 @@
   rank: 3,
   size: { cpus: 2, gpus: 0 },
   loss: 100,
-  ...(yields === undefined ? {} : { yields }),
+  ...(yields === undefined ? {} : { preemptionValue: yields }),
 });
 
 test("preemption: who yields is stopped at once, whatever priority; others are not", () => {
   const tree = treeOf({ red: 12, blue: 12, visitor: 8 });
-  assert.equal(mayStop(tree, asker, victim("g", "visitor", 5)), "yield");
-  assert.equal(mayStop(tree, asker, victim("b", "blue")), null);
+  assert.equal(preemptionReason(tree, asker, victim("g", "visitor", 5)), "yield");
+  assert.equal(preemptionReason(tree, asker, victim("b", "blue")), null);
   const all = [victim("b", "blue"), victim("dear", "visitor", 9), victim("cheap", "visitor", 5)];
   const picks = chooseVictims(tree, asker, all, (stopped) => stopped.size >= 1, 16);
   assert.deepEqual(
--- a/test/market.test.ts
+++ b/test/market.test.ts
@@ -11,7 +11,7 @@
 import { compareRatios, costOf, microOf, unitsOf } from "../src/market/money.js";
 import { type Account, emptyAccount, type Grant, parseBid } from "../src/market/records.js";
 import { grantsToCut, planZone, withoutUnused } from "../src/market/reserve.js";
-import { leaving } from "../src/part/yielding.js";
+import { leaving } from "../src/part/allowances.js";
 import { SettingsError } from "../src/settings/settings.js";
 import { Mirror } from "../src/state/mirror.js";
 import { FakeClock } from "./support/clock.js";
--- a/test/measure/market.ts
+++ b/test/measure/market.ts
@@ -4,7 +4,7 @@
  */
 
 import { type Asking, clear, type SpareRoom } from "../../src/market/clearing.js";
-import { Budget } from "../../src/state/budget.js";
+import { RateLimiter } from "../../src/state/rate-limiter.js";
 import { Refused } from "../../src/state/store.js";
 import { playDay, quantile } from "../support/days.js";
 import { MARKET, MarketWorld, operatorsOf } from "../support/market.js";
@@ -99,7 +99,7 @@
       store.writes.change(changes * 0.45, changes * 0.45);
     }
     // The state service itself allows so many a second, for all together.
-    const limit = new Budget(changes, changes, world.clock);
+    const limit = new RateLimiter(changes, changes, world.clock);
     const real = world.state.transact.bind(world.state);
     world.state.transact = (when, then) => {
       if (then.length > 0 && !limit.take(then.length)) throw new Refused("429");
--- a/test/measure/pass.ts
+++ b/test/measure/pass.ts
@@ -3,7 +3,7 @@
  * `npm run measure:pass`; not part of the tests.
  */
 import { parseOperators } from "../../src/settings/operators.js";
-import { Writable } from "../../src/state/writable.js";
+import { RecordValidator } from "../../src/state/record-validator.js";
 import { BY_REQUIREMENTS, type JobSpec } from "../../src/wire/jobs.js";
 import { PlacingBench } from "../support/placing.js";
 import { settingsFor } from "../support/platform-settings.js";
@@ -36,11 +36,11 @@
     settings,
     mirror: { rows, on: () => undefined },
     clock: { wall: () => 0, now: () => 0 },
-    store: { limits: { valueBytes: 8192 }, writable: new Writable() },
+    store: { limits: { valueBytes: 8192 }, writable: new RecordValidator() },
     layout: { members: [] },
     types: () => TYPES,
   };
-  return extensions[0]?.attach(core as never).matching;
+  return extensions[0]?.attach(core as never).matcher;
 }
 
 /** What a job needs follows from its size. */
--- a/test/measure/state.ts
+++ b/test/measure/state.ts
@@ -15,7 +15,7 @@
 import { build } from "hdr-histogram-js";
 import { type Entry, encodeLeaf, LAST, leafBytes, leafKey } from "../../src/archive/index.js";
 import { HttpClient } from "../../src/http/client.js";
-import { sizeOf } from "../../src/jobs/page.js";
+import { jsonBytes } from "../../src/jobs/chunk-page.js";
 import { Platform } from "../../src/local/index.js";
 import type { StateRow } from "../../src/local/state.js";
 import { LIMITS } from "../support/common.js";
@@ -69,7 +69,7 @@
   let entries: Entry[] = [];
   for (let n = 0; n < count; n++) {
     entries.push(entryOf(n));
-    if (entries.length % 20 !== 0 || sizeOf(encodeLeaf(from, entries)) < most * 0.88) continue;
+    if (entries.length % 20 !== 0 || jsonBytes(encodeLeaf(from, entries)) < most * 0.88) continue;
     if (n + 1 === count) break;
     const last = entries.at(-1)![0];
     yield [leafKey(last), { value: encodeLeaf(from, entries), version: 10 + n, lease: null }];
@@ -98,7 +98,7 @@
   platform.state.fill(records === "headers" ? headers(jobs) : leaves(jobs, most));
   let bytes = 0;
   for (const [key, { value }] of platform.state.rows) {
-    if (/^(a|w)\/j\//.test(key)) bytes += key.length + sizeOf(value);
+    if (/^(a|w)\/j\//.test(key)) bytes += key.length + jsonBytes(value);
   }
   await platform.start();
   const folder = mkdtempSync(join(tmpdir(), "birchdale-"));
--- a/test/part-records.test.ts
+++ b/test/part-records.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { decodePage, type PageRecord } from "../src/jobs/page.js";
+import { decodePage, type PageRecord } from "../src/jobs/chunk-page.js";
 import type { Report } from "../src/wire/workers.js";
 import { LIMITS } from "./support/common.js";
 import { Bench, exited, header, PLACED, running, spec } from "./support/part-bench.js";
--- a/test/part-takeover.test.ts
+++ b/test/part-takeover.test.ts
@@ -109,7 +109,7 @@
     for (const machine of ["a", "b", "c"]) await bench.report(machine, { seq });
     // Silent together for longer than a third of a lease, as if this controller were cut off.
     await bench.clock.run(4500);
-    if (seq > 5) assert.equal(bench.part.cutOff(), false);
+    if (seq > 5) assert.equal(bench.part.mostMachinesSilent(), false);
     seen.push(retired());
   }
   assert.deepEqual(seen.slice(1), [[], [], ["a", "b", "c"]]);
--- a/test/part.test.ts
+++ b/test/part.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { coreRecords } from "../src/controller/records.js";
-import type { PlacingRules } from "../src/extension/index.js";
+import { coreRecordValidator } from "../src/controller/record-kinds.js";
+import type { PlacementPolicy } from "../src/extension/index.js";
 import type { Change, Condition } from "../src/state/store.js";
 import type { Command, Report } from "../src/wire/workers.js";
 import { LIMITS } from "./support/common.js";
@@ -81,7 +81,10 @@
 test("a record that would be refused is left out, and nothing but that record", async () => {
   const bench = new Bench();
   const told: string[] = [];
-  bench.store.writable = coreRecords((key) => told.push(key)).add(/^w\/j\/wk-000001$/, () => false);
+  bench.store.writable = coreRecordValidator((key) => told.push(key)).add(
+    /^w\/j\/wk-000001$/,
+    () => false,
+  );
   bench.put({ put: "w/j/wk-000001", value: header() });
   bench.put({ put: "w/j/wk-000002", value: header() });
   await bench.takeOver();
@@ -363,16 +366,16 @@
 });
 
 test("placing: who yields is placed after the others, within its allowance, and not without one", async () => {
-  const rules = (cpus: number): PlacingRules => {
+  const rules = (cpus: number): PlacementPolicy => {
     const amounts = { cpus, gpus: 0 };
     return {
-      yields: (team) => team === "guest",
+      preemptible: (team) => team === "guest",
       allowance: (team) =>
-        team === "guest" ? { start: amounts, keep: amounts, hold: amounts } : null,
+        team === "guest" ? { startLimit: amounts, softLimit: amounts, hardLimit: amounts } : null,
       teams: () => ["guest"],
-      worth: () => 1,
-      kept: () => 0,
-      wanted: () => [],
+      preemptionValue: () => 1,
+      idleCpusToKeep: () => 0,
+      capacityRequests: () => [],
     };
   };
   const started = async (allowance: number, own: number): Promise<string[]> => {
--- a/test/pipeline.test.ts
+++ b/test/pipeline.test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
-import { awaitedBy } from "../src/controller/awaited.js";
+import { resolveDependencies } from "../src/controller/dependencies.js";
 import { type Fate, Graph, placedSpec, storedSpec } from "../src/pipeline/index.js";
 import { BY_REQUIREMENTS, parseSubmission } from "../src/wire/jobs.js";
-import { allowed } from "../src/workers/machine.js";
+import { kindAllowed } from "../src/workers/machine.js";
 import { fault } from "./support/faults.js";
 import { Random } from "./support/random.js";
 import { TEAMS, wrongs } from "./support/troubled.js";
@@ -226,9 +226,9 @@
     assert.ok(parsed.ok);
     const kept = JSON.parse(JSON.stringify(storedSpec(parsed.value.spec)));
     const machine = { type: "m4", zone: "a", spot: true };
-    assert.equal(allowed(kept, machine), false);
+    assert.equal(kindAllowed(kept, machine), false);
     assert.deepEqual(kept.types, [BY_REQUIREMENTS]);
-    assert.equal(allowed(placedSpec(kept), machine), true);
+    assert.equal(kindAllowed(placedSpec(kept), machine), true);
     assert.deepEqual(placedSpec(kept).types, builds);
   });
 }
@@ -304,7 +304,7 @@
 test("pipeline: whoever names a job that is known to be cancelled is so from the beginning", async () => {
   const past = { past: { status: "cancelled", over: 5 } };
   const look = async (id: string) => (id === "wk-2" ? past : null) as never;
-  assert.deepEqual(await awaitedBy("wk-9", ["wk-2"], look), {
+  assert.deepEqual(await resolveDependencies("wk-9", ["wk-2"], look), {
     after: { jobs: ["wk-2"] },
     cancelled: true,
   });
--- a/test/questions.test.ts
+++ b/test/questions.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { Mirror } from "../src/state/mirror.js";
-import { Turns } from "../src/state/turns.js";
+import { RetryAfterQueue } from "../src/state/retry-after.js";
 import { FakeClock } from "./support/clock.js";
 import { quiet } from "./support/common.js";
 import { service } from "./support/store.js";
@@ -28,7 +28,7 @@
     await clock.run(seed * 7);
     state.transact([], [{ put: "w/j/x", value: seed }]);
     let read: unknown = "no answer";
-    void mirror.current().then(() => {
+    void mirror.waitUntilCurrent().then(() => {
       read = mirror.rows.get("w/j/x")?.value;
     });
     await clock.run(500);
@@ -55,7 +55,7 @@
   await clock.run(50);
   state.transact([], [{ put: "w/j/x", value: "new" }]);
   let read: unknown = "no answer";
-  void mirror.current().then(() => {
+  void mirror.waitUntilCurrent().then(() => {
     read = mirror.rows.get("w/j/x")?.value;
   });
   await clock.run(3000);
@@ -67,7 +67,7 @@
   const { clock, store, mirror, asked } = await followed();
   let answered = 0;
   for (let i = 0; i < 1000; i++) {
-    clock.after(i, () => void mirror.current().then(() => answered++));
+    clock.after(i, () => void mirror.waitUntilCurrent().then(() => answered++));
   }
   const before = asked();
   await clock.run(1500);
@@ -75,11 +75,11 @@
   assert.ok(asked() - before <= 14, `${asked() - before} requests for 1000 questions`);
   store.refused = true;
   let failed = 0;
-  for (let i = 0; i < 50; i++) void mirror.current().catch(() => failed++);
+  for (let i = 0; i < 50; i++) void mirror.waitUntilCurrent().catch(() => failed++);
   await clock.run(500);
   assert.equal(failed, 50);
   mirror.stop();
-  const after = mirror.current().catch(() => "stopped");
+  const after = mirror.waitUntilCurrent().catch(() => "stopped");
   await clock.run(500);
   assert.equal(await after, "stopped");
 });
@@ -112,10 +112,10 @@
 
 test("turns: those who cannot be served come back one after the other", () => {
   const clock = new FakeClock();
-  const turns = new Turns(() => 4, clock);
-  const told = Array.from({ length: 12 }, () => turns.take());
+  const turns = new RetryAfterQueue(() => 4, clock);
+  const told = Array.from({ length: 12 }, () => turns.nextDelayS());
   assert.deepEqual(told, [1, 2, 2, 2, 2, 3, 3, 3, 3, 4, 4, 4]);
-  for (let i = 0; i < 500; i++) assert.ok(turns.take() <= 30);
+  for (let i = 0; i < 500; i++) assert.ok(turns.nextDelayS() <= 30);
 });
 
 test("submissions: guests leave the changes to the others, and are told when to come back", async () => {
--- a/test/quota.test.ts
+++ b/test/quota.test.ts
@@ -2,15 +2,15 @@
 import { test } from "node:test";
 import fc from "fast-check";
 import type { Amounts } from "../src/fair/share.js";
-import { limitOf, limitsOf, shownLimit, teamFaults } from "../src/quota/limits.js";
+import { limitOf, limitsOf, shownLimit, teamConfigErrors } from "../src/quota/limits.js";
 import {
-  freeOf,
   isSliceRecord,
   readSlices,
-  reslice,
+  resizeSlice,
   type SliceRecord,
   sliceOf,
-  target,
+  targetSlice,
+  unassignedAmounts,
 } from "../src/quota/slices.js";
 import { Random } from "./support/random.js";
 
@@ -25,7 +25,7 @@
 ];
 for (const { name, record, wanted, own } of cases) {
   test(`quota: a part ${name}`, () => {
-    const next = reslice(record, 0, cpus(wanted), cpus(40));
+    const next = resizeSlice(record, 0, cpus(wanted), cpus(40));
     assert.deepEqual(next[0], [own, 0]);
     assert.deepEqual(next[1], record[1], "another part's slice is never touched");
   });
@@ -35,8 +35,8 @@
   const random = new Random(3);
   let record: SliceRecord = {};
   for (let i = 0; i < 2000; i++) {
-    record = reslice(record, random.int(0, 4), cpus(random.int(0, 60)), cpus(40));
-    assert.ok(freeOf(record, cpus(40)).cpus >= 0);
+    record = resizeSlice(record, random.int(0, 4), cpus(random.int(0, 60)), cpus(40));
+    assert.ok(unassignedAmounts(record, cpus(40)).cpus >= 0);
   }
 });
 
@@ -51,13 +51,13 @@
 ];
 for (const { name, mine, others, want } of targets) {
   test(`quota: the slice a part should have: ${name}`, () => {
-    assert.equal(target(50, mine, others, 5), want);
+    assert.equal(targetSlice(50, mine, others, 5), want);
   });
 }
 
 test("quota: a rank that nobody asks for, after one that uses the limit up, is no number's fault", () => {
   // Found at fleet size: left fell a hair below 0, and 0 times infinity was written as a slice.
-  assert.equal(target(700, [405, 0, 732, 467], [595, 0, 0, 0], 5), 700);
+  assert.equal(targetSlice(700, [405, 0, 732, 467], [595, 0, 0, 0], 5), 700);
 });
 
 const asked = fc.array(fc.double({ min: 0, max: 5000, noNaN: true }), {
@@ -73,7 +73,7 @@
       let sum = 0;
       for (const mine of parts) {
         const others = total.map((all, rank) => Math.max(0, all - mine[rank]!));
-        const slice = target(limit, mine, others, parts.length);
+        const slice = targetSlice(limit, mine, others, parts.length);
         assert.ok(Number.isFinite(slice) && slice >= 0 && slice <= limit, `${slice}`);
         sum += slice;
       }
@@ -116,7 +116,7 @@
       const touch = (part: number, wanted: number): void => {
         const read = readSlices(record, 3);
         const own = sliceOf(read, part);
-        const next = reslice(read, part, cpus(own === null ? use[part]! : wanted), limit);
+        const next = resizeSlice(read, part, cpus(own === null ? use[part]! : wanted), limit);
         assert.ok(isSliceRecord(next), JSON.stringify(next));
         record = next;
         const slice = sliceOf(next, part)!.cpus;
@@ -139,20 +139,20 @@
 test("quota: while one slice is not known, none grows, and each part keeps its own", () => {
   const record = readSlices({ 0: [10, 0], 1: [null, null], 2: [20, 0] }, 3);
   assert.deepEqual(record, { 0: [10, 0], 1: null, 2: [20, 0] });
-  assert.deepEqual(freeOf(record, cpus(100)), cpus(0));
-  assert.deepEqual(reslice(record, 0, cpus(50), cpus(100))[0], [10, 0]);
-  assert.deepEqual(reslice(record, 2, cpus(5), cpus(100))[2], [5, 0]);
-  const healed = reslice(record, 1, cpus(40), cpus(100));
+  assert.deepEqual(unassignedAmounts(record, cpus(100)), cpus(0));
+  assert.deepEqual(resizeSlice(record, 0, cpus(50), cpus(100))[0], [10, 0]);
+  assert.deepEqual(resizeSlice(record, 2, cpus(5), cpus(100))[2], [5, 0]);
+  const healed = resizeSlice(record, 1, cpus(40), cpus(100));
   assert.deepEqual(healed, { 0: [10, 0], 1: [40, 0], 2: [20, 0] });
-  assert.equal(freeOf(healed, cpus(100)).cpus, 30);
+  assert.equal(unassignedAmounts(healed, cpus(100)).cpus, 30);
 });
 
 test("quota: of a resource without a limit nobody has a slice, and nothing infinite is written", () => {
   const limit: Amounts = { cpus: limitOf(0), gpus: 4 };
-  const next = reslice({ 1: [0, 1] }, 0, { cpus: 1e9, gpus: 9 }, limit);
+  const next = resizeSlice({ 1: [0, 1] }, 0, { cpus: 1e9, gpus: 9 }, limit);
   assert.deepEqual(next, { 0: [0, 3], 1: [0, 1] });
   assert.ok(isSliceRecord(next));
-  assert.equal(target(limit.cpus, [5, 0], [7, 1e6], 3), Number.POSITIVE_INFINITY);
+  assert.equal(targetSlice(limit.cpus, [5, 0], [7, 1e6], 3), Number.POSITIVE_INFINITY);
 });
 
 test("limits: a setting of 0 is no limit, as a guarantee it is nothing", () => {
@@ -164,7 +164,7 @@
   assert.deepEqual(shownLimit(limits.get("guests")!), { cpus: null, gpus: null });
   assert.deepEqual(shownLimit(limits.get("red")!), { cpus: 20, gpus: null });
   assert.deepEqual(
-    teamFaults(teams).map(({ team }) => team),
+    teamConfigErrors(teams).map(({ team }) => team),
     ["red"],
     "more is guaranteed than may be used",
   );
--- a/test/rental.test.ts
+++ b/test/rental.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { Announcing } from "../src/part/announcing.js";
 import { Quota } from "../src/part/quota.js";
+import { SummaryPublisher } from "../src/part/summary-publisher.js";
 import { PlacingBench } from "./support/placing.js";
 
 // Inc-dbf5 and inc-8d22: machines were rented for whatever waited, and stood idle.
@@ -13,7 +13,7 @@
   bench.job({ rank: 0, tasks: 1000 });
   bench.job({ rank: 2, tasks: 3, cpus: 4 });
   quota.begin();
-  const { need, waiting } = new Announcing(bench.ctx, bench.ledger, quota).summary();
+  const { need, waiting } = new SummaryPublisher(bench.ctx, bench.ledger, quota).summary();
   assert.deepEqual(
     need.map(({ cpus, count, lent }) => [cpus, count, lent === true]),
     [
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -278,13 +278,13 @@
       else members[0]!.store.cut = on;
     };
     trouble(true);
-    first.stepBack([0], 60_000, "machines do not reach us").catch(() => undefined);
+    first.relinquish([0], 60_000, "machines do not reach us").catch(() => undefined);
     // Shorter than a lease, so that the claim outlives it.
     await clock.run(1500);
     trouble(false);
     await clock.run(15_000);
     assert.deepEqual([...first.owned.keys()], []);
     assert.deepEqual([...second.owned.keys()].sort(), [0, 1], "a part that nobody has");
-    assert.notEqual(second.leaderStamp, null);
+    assert.notEqual(second.leaderClaimVersion, null);
   });
 }
--- a/test/share.test.ts
+++ b/test/share.test.ts
@@ -1,12 +1,12 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { chooseVictims, mayStop, type Victim } from "../src/fair/preempt.js";
-import { compareShares, ROOT, Tree } from "../src/fair/share.js";
+import { compareShares, ROOT, ShareTree } from "../src/fair/share.js";
+import { chooseVictims, preemptionReason, type Victim } from "../src/fair/victim-selection.js";
 import { SettingsError } from "../src/settings/settings.js";
 import { parseTuning } from "../src/settings/tuning.js";
 
 const flatTree = (teams: { name: string; cpus: number; gpus: number }[], weights = "") =>
-  new Tree(
+  new ShareTree(
     parseTuning(
       weights,
       "f",
@@ -47,7 +47,7 @@
 
 test("share: groups are compared from the root down", () => {
   // Story 2 of KEP-1714: departments first, then their teams.
-  const tree = new Tree([
+  const tree = new ShareTree([
     { name: ROOT, parent: null, weight: 1, nominal: cpus(40) },
     { name: "d1", parent: ROOT, weight: 1, nominal: cpus(20) },
     { name: "d2", parent: ROOT, weight: 1, nominal: cpus(20) },
@@ -112,11 +112,11 @@
       team: "x",
       rank: 1,
       size: cpus(c.size),
-      entitled: true,
-      patience: 4,
-      evenPatience: 1,
+      withinGuarantee: true,
+      maxLoss: 4,
+      maxFairLoss: 1,
     };
-    assert.equal(mayStop(tree, asker, victim("v", "y", c.v)), c.want);
+    assert.equal(preemptionReason(tree, asker, victim("v", "y", c.v)), c.want);
   });
 }
 
@@ -126,12 +126,12 @@
     team: "x",
     rank: 1,
     size: cpus(1),
-    entitled: true,
-    patience: 0,
-    evenPatience: 0,
+    withinGuarantee: true,
+    maxLoss: 0,
+    maxFairLoss: 0,
   };
-  assert.equal(mayStop(tree, asker, victim("v", "x", 1, 0)), "priority");
-  assert.equal(mayStop(tree, asker, victim("v", "x", 1, 1)), null);
+  assert.equal(preemptionReason(tree, asker, victim("v", "x", 1, 0)), "priority");
+  assert.equal(preemptionReason(tree, asker, victim("v", "x", 1, 1)), null);
 });
 
 test("preemption: evening out never destroys more than the asker has waited", () => {
@@ -142,12 +142,12 @@
     team: "x",
     rank: 1,
     size: cpus(1),
-    entitled: true,
-    patience: 40,
-    evenPatience: 10,
+    withinGuarantee: true,
+    maxLoss: 40,
+    maxFairLoss: 10,
   };
-  assert.equal(mayStop(tree, asker, victim("v", "y", 1, 1, 11)), null);
-  assert.equal(mayStop(tree, asker, victim("v", "y", 1, 1, 9)), "fair");
+  assert.equal(preemptionReason(tree, asker, victim("v", "y", 1, 1, 11)), null);
+  assert.equal(preemptionReason(tree, asker, victim("v", "y", 1, 1, 9)), "fair");
 });
 
 const pickCases = [
@@ -189,9 +189,9 @@
         team: "x",
         rank: 1,
         size: cpus(c.need),
-        entitled: true,
-        patience: 0,
-        evenPatience: 0,
+        withinGuarantee: true,
+        maxLoss: 0,
+        maxFairLoss: 0,
       },
       c.victims,
       (stopped) => {
--- a/test/submit-corpus.test.ts
+++ b/test/submit-corpus.test.ts
@@ -106,7 +106,7 @@
       if (plan.requirements !== "") {
         assert.equal(print(parseExpression(plan.requirements)), plan.requirements);
       }
-      const bench = new PlacingBench(TYPES, { ...wrap, idle: () => false });
+      const bench = new PlacingBench(TYPES, { ...wrap, cannotStart: () => false });
       for (const machine of MACHINES) bench.machine(...machine);
       const id = bench.job({ ...parsed.value.spec, team: "red", tasks: 1 });
       bench.pass();
@@ -118,13 +118,13 @@
 /** Moments and clusters keep jobs back elsewhere; here the question is only where they go. */
 const wrap = {
   rank: matching.rank.bind(matching),
-  ranking: matching.ranking.bind(matching),
-  like: matching.like.bind(matching),
-  held: () => null,
-  mostMs: () => null,
-  retries: () => null,
+  rankerFor: matching.rankerFor.bind(matching),
+  equivalenceKey: matching.equivalenceKey.bind(matching),
+  holdReason: () => null,
+  maxRunMs: () => null,
+  maxRetries: () => null,
   hold: () => undefined,
-  refuses: () => null,
+  rejection: () => null,
 };
 
 for (const file of readdirSync(join(BASE, "refused")).sort()) {
--- a/test/submit.test.ts
+++ b/test/submit.test.ts
@@ -4,8 +4,8 @@
 import { test } from "node:test";
 import { Ad } from "../src/classad/index.js";
 import { plan } from "../src/cloud/plan.js";
-import type { Header } from "../src/jobs/header.js";
-import type { KindRoom, Summary } from "../src/part/summary.js";
+import type { JobHeader } from "../src/jobs/job-header.js";
+import type { KindCapacity, Summary } from "../src/part/summary.js";
 import { decodeFrame, encodeFrame } from "../src/peer/frames.js";
 import { SettingsError } from "../src/settings/settings.js";
 import {
@@ -23,8 +23,8 @@
 import { type ClusterRecord, withHold, withRelease } from "../src/submit/site/records.js";
 import { pendingOf } from "../src/submit/user/pending.js";
 import { BY_REQUIREMENTS, type JobSpec, parseSubmission } from "../src/wire/jobs.js";
-import { allowed, typeFits } from "../src/workers/machine.js";
-import { Places } from "../src/workers/places.js";
+import { kindAllowed, typeFits } from "../src/workers/machine.js";
+import { PlacementConstraints } from "../src/workers/placement-constraints.js";
 import { PlacingBench, plainSpec } from "./support/placing.js";
 import { extensionOf, matchingOf, NOW, textWorld, typeOf } from "./support/submit.js";
 
@@ -117,7 +117,7 @@
 });
 
 test("rank: what a job likes best may be dear; what is rented for it is still the cheapest that will do", () => {
-  const places = new Places(matching);
+  const places = new PlacementConstraints(matching);
   const spec = picky("TotalCpus >= 4", "Spot == false");
   const offers = [...TYPES.values()].flatMap((type) =>
     [false, true].map((spot) => ({ type, zone: "north", spot, price: spot ? 1 : 9 })),
@@ -133,7 +133,7 @@
     job: "wk-1",
   };
   const suits = (_: string, { type, zone, spot }: (typeof offers)[number]): boolean =>
-    places.may(spec, { type: type.name, zone, spot });
+    places.allows(spec, { type: type.name, zone, spot });
   const wishes = plan([need], [], TYPES, offers, 50, suits);
   assert.deepEqual(
     wishes.map(({ offer }) => offer.spot),
@@ -152,7 +152,7 @@
   for (const type of TYPES.values()) {
     assert.equal(typeFits(seen, type), false, "it answers 422");
     assert.equal(
-      allowed(seen, kind(type.name)),
+      kindAllowed(seen, kind(type.name)),
       false,
       "it places nothing, and stops nobody for it",
     );
@@ -183,10 +183,10 @@
   assert.equal(parseSubmission({ ...whole, builds: [BY_REQUIREMENTS] }).ok, false);
   assert.equal(parseSubmission({ ...whole, ...body, builds: [BY_REQUIREMENTS] }).ok, true);
   // Without the package, nothing is a place for it, and nothing is wanted for it.
-  const places = new Places(null);
-  assert.equal(places.may(picky("true"), kind("big")), false);
-  assert.equal(places.idle("wk-1", picky("true")), true);
-  assert.equal(places.may(plainSpec, kind("big")), true);
+  const places = new PlacementConstraints(null);
+  assert.equal(places.allows(picky("true"), kind("big")), false);
+  assert.equal(places.cannotStart("wk-1", picky("true")), true);
+  assert.equal(places.allows(plainSpec, kind("big")), true);
 });
 
 test("an expression is evaluated once for a kind of machine, and again only for what changes", () => {
@@ -238,8 +238,8 @@
 });
 
 test("also through attributes of another rule", () => {
-  assert.equal(matching.like(picky("Idle")), null);
-  assert.notEqual(matching.like(picky("KFlops > 1")), null);
+  assert.equal(matching.equivalenceKey(picky("Idle")), null);
+  assert.notEqual(matching.equivalenceKey(picky("KFlops > 1")), null);
 });
 
 test("what one team's job has found out says nothing of another team's", async () => {
@@ -269,7 +269,7 @@
     () => TYPES,
     () => 0,
   );
-  const rooms: KindRoom[] = [
+  const rooms: KindCapacity[] = [
     { ...kind("small"), capacity: 40, free: 40, most: 4 },
     { ...kind("small", "south", false), capacity: 8, free: 8, most: 4 },
     { ...kind("big"), capacity: 96, free: 96, most: 32 },
@@ -319,7 +319,7 @@
   states.map((status, index) => ({
     index,
     id: `wk-c1.${index}`,
-    header: status === null ? null : ({ status, tasks: 2 } as Header),
+    header: status === null ? null : ({ status, tasks: 2 } as JobHeader),
   }));
 
 test("clusters: so many jobs may start that no more procs than allowed are placed at a time", () => {
--- a/test/support/common.ts
+++ b/test/support/common.ts
@@ -34,15 +34,15 @@
 export const ALONE: Pick<Core, "claims" | "peers"> = {
   claims: {
     run: "r",
-    get standings(): never {
+    get stability(): never {
       throw new Error("not here");
     },
     valid: () => true,
     lease: () => null,
     ownerOf: () => null,
     served: () => [],
-    inherit: () => Promise.resolve(false),
-    stepBack: () => Promise.resolve(),
+    reassign: () => Promise.resolve(false),
+    relinquish: () => Promise.resolve(),
   },
   peers: { send() {}, broadcast() {}, sentAt: () => 0 },
 };
--- a/test/support/configured.ts
+++ b/test/support/configured.ts
@@ -6,8 +6,8 @@
   type Overrides,
 } from "../../src/configuration/index.js";
 import type { Answer } from "../../src/http/client.js";
-import { isHeader } from "../../src/jobs/header.js";
-import { readPage } from "../../src/jobs/page.js";
+import { readPage } from "../../src/jobs/chunk-page.js";
+import { isHeader } from "../../src/jobs/job-header.js";
 import { readSlices } from "../../src/quota/slices.js";
 import { defaultTuning } from "../../src/settings/tuning.js";
 import { keys } from "../../src/state/keys.js";
--- a/test/support/explore.ts
+++ b/test/support/explore.ts
@@ -1,7 +1,7 @@
-import { coreRecords } from "../../src/controller/records.js";
+import { coreRecordValidator } from "../../src/controller/record-kinds.js";
 import { NoAnswer } from "../../src/http/client.js";
 import type { StateService } from "../../src/local/state.js";
-import { Budget } from "../../src/state/budget.js";
+import { RateLimiter } from "../../src/state/rate-limiter.js";
 import type {
   Change,
   Condition,
@@ -124,8 +124,8 @@
 
 /** One controller's connection, all of whose requests wait to be chosen. */
 export class ChosenStore implements Store {
-  readonly writes: Budget;
-  readonly writable = coreRecords((key, why) => {
+  readonly writes: RateLimiter;
+  readonly writable = coreRecordValidator((key, why) => {
     throw new Error(`${key}: ${why}`);
   });
 
@@ -135,7 +135,7 @@
     readonly limits: StoreLimits,
     clock: FakeClock,
   ) {
-    this.writes = new Budget(1e9, 1e9, clock);
+    this.writes = new RateLimiter(1e9, 1e9, clock);
   }
 
   divide(): void {}
--- a/test/support/part-bench.ts
+++ b/test/support/part-bench.ts
@@ -1,9 +1,9 @@
 import assert from "node:assert/strict";
 import type { DecidingBy } from "../../src/configuration/index.js";
-import type { PlacingRules } from "../../src/extension/index.js";
-import { type Amounts, Tree } from "../../src/fair/share.js";
+import type { PlacementPolicy } from "../../src/extension/index.js";
+import { type Amounts, ShareTree } from "../../src/fair/share.js";
 import type { Reply } from "../../src/http/server.js";
-import { decodePage, type PageRecord } from "../../src/jobs/page.js";
+import { decodePage, type PageRecord } from "../../src/jobs/chunk-page.js";
 import { Metrics } from "../../src/metrics.js";
 import { Part } from "../../src/part/part.js";
 import { Summaries, type Summary } from "../../src/part/summary.js";
@@ -12,7 +12,7 @@
 import { Mirror } from "../../src/state/mirror.js";
 import type { Change, Row } from "../../src/state/store.js";
 import type { Command, Report } from "../../src/wire/workers.js";
-import { Places } from "../../src/workers/places.js";
+import { PlacementConstraints } from "../../src/workers/placement-constraints.js";
 import { FakeClock } from "./clock.js";
 import { bodyOf, LIMITS, NEVER_REVISED, quiet } from "./common.js";
 import { plainSpec } from "./placing.js";
@@ -40,7 +40,7 @@
   /** What the part has told the others. */
   readonly announced: Summary[] = [];
   part!: Part;
-  rules: PlacingRules | null = null;
+  rules: PlacementPolicy | null = null;
   readonly limits = new Map<string, Amounts>([["red", { cpus: 8, gpus: 0 }]]);
   configuration: DecidingBy = NEVER_REVISED;
 
@@ -67,8 +67,8 @@
       {
         index: 0,
         claim: { key: "w/p/0", version: this.token },
-        doubtful: () => false,
-        together: () => this.together,
+        ownerSuspected: () => false,
+        allReadCurrentFormat: () => this.together,
         pipelines: new Pipelines(
           this.mirror,
           this.store,
@@ -77,19 +77,19 @@
           2000,
           async () => null,
         ),
-        settling: () => this.settling,
-        settleMs: 30_000,
+        reconcilingRestore: () => this.settling,
+        restoreReconciliationMs: 30_000,
         token: this.token,
         store: this.store,
         mirror: this.mirror,
         clock: this.clock,
         log: quiet,
         valid: () => true,
-        places: new Places(null),
+        constraints: new PlacementConstraints(null),
         types: () => new Map([["m4", { name: "m4", ...type }]]),
-        newTree: () => {
+        newShareTree: () => {
           this.passes++;
-          return new Tree(defaultTuning([team]).groups);
+          return new ShareTree(defaultTuning([team]).groups);
         },
         evenOut: true,
         patience: 4,
@@ -97,19 +97,19 @@
         partsOf: () => [0],
         limits: this.limits,
         configuration: this.configuration,
-        lentTo: (team) => this.lent.has(team),
-        rules: this.rules,
+        isBorrower: (team) => this.lent.has(team),
+        policy: this.rules,
         targets: new Map(),
-        gone: this.gone,
+        goneMachines: this.gone,
         metrics: new Metrics(this.clock, 1e9),
         summaries: new Summaries(),
         guaranteed: () => new Set(),
-        timely: () => this.timely,
-        order: () => undefined,
-        announce: (summary) => this.announced.push(summary),
+        onTime: () => this.timely,
+        sendCommands: () => undefined,
+        publishSummary: (summary) => this.announced.push(summary),
         reportMs: 2000,
         leaseMs: 12_000,
-        lost: () => {
+        onClaimLost: () => {
           this.lost = true;
         },
       },
--- a/test/support/placing.ts
+++ b/test/support/placing.ts
@@ -1,16 +1,16 @@
-import type { Matching } from "../../src/extension/index.js";
-import { Tree } from "../../src/fair/share.js";
-import type { Header } from "../../src/jobs/header.js";
+import type { JobMatcher } from "../../src/extension/index.js";
+import { ShareTree } from "../../src/fair/share.js";
+import type { JobHeader } from "../../src/jobs/job-header.js";
 import type { PartContext } from "../../src/part/context.js";
 import { Ledger } from "../../src/part/ledger.js";
-import { beginPass, Placing } from "../../src/part/placing.js";
+import { beginPass, Placement } from "../../src/part/placement.js";
 import type { Quota } from "../../src/part/quota.js";
 import { Summaries } from "../../src/part/summary.js";
 import { defaultTuning } from "../../src/settings/tuning.js";
 import { Mirror } from "../../src/state/mirror.js";
 import type { MachineType } from "../../src/wire/cloud.js";
 import type { JobSpec } from "../../src/wire/jobs.js";
-import { Places } from "../../src/workers/places.js";
+import { PlacementConstraints } from "../../src/workers/placement-constraints.js";
 import { FakeClock } from "./clock.js";
 import { LIMITS, NEVER_REVISED, quiet } from "./common.js";
 import { Random } from "./random.js";
@@ -42,13 +42,13 @@
   readonly clock = new FakeClock();
   readonly mirror: Mirror;
   readonly ledger: Ledger;
-  readonly placing: Placing;
+  readonly placing: Placement;
   readonly ctx: PartContext;
   #jobs = 0;
 
   constructor(
     readonly types: ReadonlyMap<string, MachineType>,
-    matching: Matching | null,
+    matching: JobMatcher | null,
     teams: readonly string[] = ["red"],
   ) {
     const state = new FakeState(this.clock, LIMITS);
@@ -62,21 +62,21 @@
       mirror: this.mirror,
       clock: this.clock,
       log: quiet,
-      rules: null,
+      policy: null,
       configuration: NEVER_REVISED,
-      places: new Places(matching),
-      lentTo: () => false,
+      constraints: new PlacementConstraints(matching),
+      isBorrower: () => false,
       types: () => types,
-      newTree: () => new Tree(groups),
+      newShareTree: () => new ShareTree(groups),
       summaries: new Summaries(),
       targets: new Map(),
       guaranteed: () => new Set<string>(),
-      timely: () => new Set<string>(),
+      onTime: () => new Set<string>(),
       reportMs: 2000,
       leaseMs: 12_000,
     } as unknown as PartContext;
     this.ledger = new Ledger(this.ctx);
-    this.placing = new Placing(this.ctx, this.ledger, {
+    this.placing = new Placement(this.ctx, this.ledger, {
       fits: () => true,
       excess: () => 0,
       short: new Map(),
@@ -85,12 +85,12 @@
 
   machine(id: string, type: string, zone: string, spot: boolean): void {
     const machine = this.ledger.machine(id);
-    Object.assign(machine, { type, zone, spot, current: true });
+    Object.assign(machine, { type, zone, spot, hasOurToken: true });
   }
 
   job(spec: Partial<JobSpec>, id = `wk-${++this.#jobs}`): string {
     const whole = { ...plainSpec, ...spec };
-    const header: Header = {
+    const header: JobHeader = {
       status: "open",
       spec: whole,
       owners: "0",
@@ -117,14 +117,16 @@
   where(id: string): string[] {
     const job = this.ledger.jobs.get(id);
     return [...(job?.chunks.values() ?? [])].flatMap((chunk) =>
-      [...chunk.live.values()].sort((a, b) => a.index - b.index).map(({ machine }) => machine),
+      [...chunk.allocations.values()]
+        .sort((a, b) => a.index - b.index)
+        .map(({ machine }) => machine),
     );
   }
 
   /** Takes a job's tasks off their machines. */
   clear(id: string): void {
     for (const chunk of this.ledger.jobs.get(id)?.chunks.values() ?? []) {
-      for (const live of [...chunk.live.values()]) this.ledger.release(live, false);
+      for (const live of [...chunk.allocations.values()]) this.ledger.release(live, false);
     }
   }
 }
--- a/test/support/store.ts
+++ b/test/support/store.ts
@@ -1,8 +1,8 @@
 import { type Clock, sleep } from "../../src/clock.js";
-import { coreRecords } from "../../src/controller/records.js";
+import { coreRecordValidator } from "../../src/controller/record-kinds.js";
 import { NoAnswer } from "../../src/http/client.js";
 import { StateService as FakeState, Malformed } from "../../src/local/state.js";
-import { Budget } from "../../src/state/budget.js";
+import { RateLimiter } from "../../src/state/rate-limiter.js";
 import {
   type Change,
   type Condition,
@@ -26,8 +26,8 @@
 const copy = <T>(value: T): T => structuredClone(value);
 /** One controller's connection to the state service, with the faults that it may have. */
 export class FakeStore implements Store {
-  readonly writes: Budget;
-  writable = coreRecords((key, why) => {
+  readonly writes: RateLimiter;
+  writable = coreRecordValidator((key, why) => {
     throw new Error(`${key}: ${why}`);
   });
   /** Nothing comes back, though what was sent may be applied, at once or late. */
@@ -53,7 +53,7 @@
     /** What is on its way goes on while the controller stands still. */
     readonly way: Clock = clock,
   ) {
-    this.writes = new Budget(limits.writeRps, limits.writeRps, clock);
+    this.writes = new RateLimiter(limits.writeRps, limits.writeRps, clock);
   }
 
   /** How much longer every answer takes, at most, milliseconds. */
--- a/test/support/submit.ts
+++ b/test/support/submit.ts
@@ -1,7 +1,7 @@
 import { readdirSync, readFileSync, statSync } from "node:fs";
 import { join } from "node:path";
-import { coreRecords } from "../../src/controller/records.js";
-import type { Extension, Matching } from "../../src/extension/index.js";
+import { coreRecordValidator } from "../../src/controller/record-kinds.js";
+import type { Extension, JobMatcher } from "../../src/extension/index.js";
 import { parseOperators } from "../../src/settings/operators.js";
 import { type FileWorld, matchPaths } from "../../src/submit/index.js";
 import type { MachineType } from "../../src/wire/cloud.js";
@@ -60,15 +60,15 @@
   text: string,
   types: ReadonlyMap<string, MachineType>,
   wall: () => number = () => NOW,
-): Promise<Matching> {
+): Promise<JobMatcher> {
   const settings = settingsFor(0, 1, [{ name: "red", cpus: 1, max: 1 }], ["north", "south"]);
   const core = {
     settings,
     mirror: { rows: new Map(), on: () => undefined },
     clock: { wall, now: () => 0 },
-    store: { limits: { valueBytes: 8192 }, writable: coreRecords() },
+    store: { limits: { valueBytes: 8192 }, writable: coreRecordValidator() },
     layout: { members: [] },
     types: () => types,
   };
-  return (await extensionOf(text)).attach(core as never).matching!;
+  return (await extensionOf(text)).attach(core as never).matcher!;
 }
--- a/test/support/year.ts
+++ b/test/support/year.ts
@@ -1,10 +1,10 @@
 import { decodeLeaf, encodeLeaf, LAST, Lookups, leafKey, Mover } from "../../src/archive/index.js";
-import type { Core, Leading } from "../../src/extension/index.js";
-import type { Header } from "../../src/jobs/header.js";
+import type { Core, LeaderTerm } from "../../src/extension/index.js";
+import type { JobHeader } from "../../src/jobs/job-header.js";
 import { StateService } from "../../src/local/state.js";
-import { Budget } from "../../src/state/budget.js";
 import { keys } from "../../src/state/keys.js";
 import { Mirror } from "../../src/state/mirror.js";
+import { RateLimiter } from "../../src/state/rate-limiter.js";
 import type { Row, Store, StoreLimits } from "../../src/state/store.js";
 import { FakeClock } from "./clock.js";
 import { quiet } from "./common.js";
@@ -22,7 +22,7 @@
     const { state, clock } = this;
     const store = {
       limits,
-      writes: new Budget(1e9, 1e9, clock),
+      writes: new RateLimiter(1e9, 1e9, clock),
       page: async (prefix: string, after: string | null, most: number) => {
         const { rows, more } = state.list(prefix, after ?? "", most);
         const listed = rows.map(([key, { value, version }]) => ({ key, value, version }));
@@ -33,9 +33,9 @@
     state.transact([], [{ put: leafKey(LAST), value: encodeLeaf("", []) }]);
     this.lookups = new Lookups(store, clock, quiet, 1);
     const mirror = new Mirror(store, clock, quiet, 1000);
-    mirror.reached = async () => undefined;
+    mirror.waitForRevision = async () => undefined;
     const core = { store, clock, log: quiet, mirror } as unknown as Core;
-    const leading: Leading = { token: 1, claim: { key: "x", version: 1 }, valid: () => true };
+    const leading: LeaderTerm = { token: 1, claim: { key: "x", version: 1 }, valid: () => true };
     const drop = (rows: readonly Row[]): void => {
       const names = new Set(rows.map(({ key }) => key));
       this.#waiting = this.#waiting.filter(({ key }) => !names.has(key));
@@ -45,7 +45,7 @@
   }
 
   /** Some jobs have ended: they have headers, and all of them are archived. */
-  async archive(jobs: readonly (readonly [id: string, header: Header])[]): Promise<void> {
+  async archive(jobs: readonly (readonly [id: string, header: JobHeader])[]): Promise<void> {
     for (const [id, value] of jobs) {
       this.state.transact([], [{ put: keys.job(id), value }]);
       this.#waiting.push({ key: keys.job(id), value, version: this.state.revision });
--- a/test/suspicion.test.ts
+++ b/test/suspicion.test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
-import { Owners } from "../src/controller/owners.js";
+import { OwnedParts } from "../src/controller/owned-parts.js";
 import type { Reply } from "../src/http/server.js";
-import { standMs, succession, type Vacancy } from "../src/membership/succession.js";
-import { Balancing } from "../src/part/balancing.js";
+import { rankOwners, requiredStableMs, type Vacancy } from "../src/membership/owner-ranking.js";
 import type { PartContext } from "../src/part/context.js";
 import type { Job } from "../src/part/job.js";
-import type { Pass } from "../src/part/placing.js";
+import type { Pass } from "../src/part/placement.js";
+import { Rebalancing } from "../src/part/rebalancing.js";
 import type { Summary } from "../src/part/summary.js";
 import { parseOperators } from "../src/settings/operators.js";
 import { SettingsError } from "../src/settings/settings.js";
@@ -25,7 +25,7 @@
   verdict,
 } from "../src/suspicion/index.js";
 import { Sensed } from "../src/suspicion/peers.js";
-import { Places } from "../src/workers/places.js";
+import { PlacementConstraints } from "../src/workers/placement-constraints.js";
 import { FakeClock } from "./support/clock.js";
 import { quiet } from "./support/common.js";
 import { settingsFor } from "./support/platform-settings.js";
@@ -343,21 +343,21 @@
   const kind = { type: "m4", zone: "a", spot: true, capacity: 40, free: 40, most: 4 };
   const summary = { kinds: [kind], waiting: 0 } as unknown as Summary;
   const movedTo = (doubted: number | null): number | null => {
-    const chunk = { live: new Map(), pending: 4, movingTo: null, since: 0 };
+    const chunk = { allocations: new Map(), pending: 4, movingTo: null, since: 0 };
     const spec = { cpus: 1, kind: "array", zone: null };
     const job = { id: "wk-1", spec, chunks: new Map([[0, chunk]]), failures: 0 } as unknown as Job;
     const context = {
       index: 0,
-      rules: null,
-      places: new Places(null),
+      policy: null,
+      constraints: new PlacementConstraints(null),
       log: quiet,
       leaseMs: LEASE,
       summaries: { all: () => [[1, summary]] },
-      doubtful: (part: number) => part === doubted,
+      ownerSuspected: (part: number) => part === doubted,
     } as unknown as PartContext;
-    context.places.may = () => true;
+    context.constraints.allows = () => true;
     const pass = { machines: [], types: new Map([["m4", type]]), now: LEASE } as unknown as Pass;
-    new Balancing(context).run([job], pass, 4);
+    new Rebalancing(context).run([job], pass, 4);
     return chunk.movingTo;
   };
   assert.equal(movedTo(null), 1);
@@ -378,7 +378,7 @@
         .slice(0, gone)
         .map((home, part) => ({ part, home: { name: home.name, zone: home.zone } }));
       const survivors = all.slice(gone);
-      const ranked = succession(vacancies, survivors);
+      const ranked = rankOwners(vacancies, survivors);
       const first = vacancies.map(({ part }) => ranked.get(part)![0]!);
       for (const [i, name] of first.entries()) {
         const { zone } = all[i]!;
@@ -390,7 +390,7 @@
         const given = first.filter((name) => there.includes(name));
         assert.ok(new Set(given).size >= Math.min(given.length, there.length));
       }
-      assert.deepEqual(ranked, succession(vacancies, [...survivors].reverse()), "the same for all");
+      assert.deepEqual(ranked, rankOwners(vacancies, [...survivors].reverse()), "the same for all");
     }),
     { seed: 3, numRuns: 300 },
   );
@@ -398,7 +398,7 @@
 
 test("succession: a part goes home first, and leadership has none", () => {
   const all = candidates(4);
-  const ranked = succession(
+  const ranked = rankOwners(
     [
       { part: 3, home: { name: "n3", zone: "b" } },
       { part: null, home: null },
@@ -407,12 +407,12 @@
   );
   assert.deepEqual(ranked.get(3)!.slice(0, 2), ["n3", "n1"]);
   assert.equal(ranked.get(null)!.length, 4);
-  assert.deepEqual(succession([{ part: 0, home: null }], []).get(0), []);
+  assert.deepEqual(rankOwners([{ part: 0, home: null }], []).get(0), []);
 });
 
 test("standing: who ends again and again has to stand for longer each time, up to a bound", () => {
   assert.deepEqual(
-    [0, 1, 2, 3, 6, 60].map((ends) => standMs(ends, 1)),
+    [0, 1, 2, 3, 6, 60].map((ends) => requiredStableMs(ends, 1)),
     [1, 2, 4, 8, 64, 64],
   );
 });
@@ -465,7 +465,7 @@
     const never = (): never => {
       throw new Error("not here");
     };
-    const owners = new Owners(
+    const owners = new OwnedParts(
       core as never,
       () => ({ ownerOf }) as never,
       never,
--- a/test/timely.test.ts
+++ b/test/timely.test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { type Due, timely } from "../src/fair/timely.js";
-import { dueOf, targetsOf } from "../src/jobs/due.js";
+import { type DueJob, selectOnTimeJobs } from "../src/fair/on-time-jobs.js";
+import { dueTime, targetsOf } from "../src/jobs/due-time.js";
 import type { JobSpec } from "../src/wire/jobs.js";
 
-const job = (id: string, leftS: number, work: number, rank = 1, taskS = 10): Due => ({
+const job = (id: string, leftS: number, work: number, rank = 1, taskS = 10): DueJob => ({
   id,
   rank,
   leftS,
@@ -13,7 +13,7 @@
 });
 
 // With ten CPUs.
-const cases: { name: string; jobs: Due[]; want: string[] }[] = [
+const cases: { name: string; jobs: DueJob[]; want: string[] }[] = [
   { name: "all fit", jobs: [job("a", 60, 300), job("b", 100, 400)], want: ["a", "b"] },
   {
     name: "a huge one is given up for those after it",
@@ -44,7 +44,7 @@
 ];
 for (const { name, jobs, want } of cases) {
   test(`in time: ${name}`, () => {
-    assert.deepEqual([...timely(jobs, 10)].sort(), want);
+    assert.deepEqual([...selectOnTimeJobs(jobs, 10)].sort(), want);
   });
 }
 
@@ -64,6 +64,6 @@
 for (const { name, class: of, deadlineS, want } of dues) {
   test(`due: ${name}`, () => {
     const spec = { class: of, deadlineS, estimateS: 40 } as JobSpec;
-    assert.equal(dueOf(spec, 0, aims), want * 1000);
+    assert.equal(dueTime(spec, 0, aims), want * 1000);
   });
 }
--- a/test/unused.test.ts
+++ b/test/unused.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { UnusedSlices } from "../src/part/unused.js";
+import { UnusedSlices } from "../src/part/unused-slices.js";
 import { NO_LIMIT } from "../src/quota/limits.js";
 import { FakeClock } from "./support/clock.js";
 
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -2,9 +2,9 @@
 import { test } from "node:test";
 import { beginArchive, behind, Lookups, Mover } from "../src/archive/index.js";
 import { Forgetting } from "../src/cloud/forgetting.js";
-import { Standing } from "../src/controller/standing.js";
-import type { Core, Leading } from "../src/extension/index.js";
-import { doneHeader, type Header } from "../src/jobs/header.js";
+import { OpenJobs } from "../src/controller/open-jobs.js";
+import type { Core, LeaderTerm } from "../src/extension/index.js";
+import { doneHeader, type JobHeader } from "../src/jobs/job-header.js";
 import type { StateService } from "../src/local/state.js";
 import { Layout } from "../src/membership/layout.js";
 import { Metrics } from "../src/metrics.js";
@@ -173,7 +173,7 @@
 
 test("standing: a job whose header is gone is open no more, though nobody heard of its end", () => {
   const { mirror } = pieces();
-  const standing = new Standing(() => new Map(), new Map(), new Summaries(), new FakeClock(), 1000);
+  const standing = new OpenJobs(() => new Map(), new Map(), new Summaries(), new FakeClock(), 1000);
   standing.follow(mirror, () => undefined);
   const key = keys.job("wk-1");
   mirror.apply({ key, value: { ...over, status: "open" }, version: 1, deleted: false });
@@ -211,7 +211,7 @@
     prepare(state);
     await clock.run(2000);
     assert.deepEqual(behind(core), missing);
-    const leading: Leading = { token: 1, claim, valid: () => true };
+    const leading: LeaderTerm = { token: 1, claim, valid: () => true };
     const begun = beginArchive(core, leading);
     await clock.run(2000);
     assert.equal(await begun, missing.length === 0);
@@ -243,7 +243,7 @@
     started: true,
     moves: 0,
     tasks: 1,
-  } satisfies Header,
+  } satisfies JobHeader,
   5,
 );
 
@@ -260,7 +260,7 @@
       .map(([key, { value, version }]) => ({ key, value, version }));
   const lookups = new Lookups(store, clock, quiet, 1);
   const candidates = { take: async () => left(), gone: () => undefined, setAside: () => undefined };
-  const leading: Leading = { token: 1, claim: { key: "x", version: 1 }, valid: () => true };
+  const leading: LeaderTerm = { token: 1, claim: { key: "x", version: 1 }, valid: () => true };
   const mover = new Mover(core, lookups, candidates, leading);
   let stopped = false;
   store.writes.force(12);
@@ -304,7 +304,7 @@
     rows = rows.filter((row) => !some.includes(row));
   };
   const setAside = (some: readonly Row[]): void => void aside.push(...some.map(({ key }) => key));
-  const leading: Leading = { token: 1, claim: { key: "x", version: 1 }, valid: () => true };
+  const leading: LeaderTerm = { token: 1, claim: { key: "x", version: 1 }, valid: () => true };
   const lookups = new Lookups(store, clock, quiet, 1);
   const mover = new Mover(core, lookups, { take: async () => rows, gone, setAside }, leading);
   store.loss = 1;
@@ -326,7 +326,7 @@
   for (let minute = 0; minute < 40; minute++) {
     for (let i = 0; i < 4; i++) {
       const name = `host-${made++}`;
-      state.transact([], [{ put: keys.gone(`1-${made}`), value: [name] }]);
+      state.transact([], [{ put: keys.goneMachines(`1-${made}`), value: [name] }]);
       forgetting.returned(name);
       await clock.run(15_000);
       const step = forgetting.step();
