--- a/test/witnessed.test.ts
+++ b/test/witnessed.test.ts
@@ -3,7 +3,7 @@
 import { sleep } from "../src/clock.js";
 import { NoAnswer } from "../src/http/client.js";
 import { Mirror } from "../src/state/mirror.js";
-import { witnessed } from "../src/state/witnessed.js";
+import { transactConfirmedByWatch } from "../src/state/watched-transaction.js";
 import { quiet } from "./support/common.js";
 import { service } from "./support/store.js";
 
@@ -40,7 +40,7 @@
     }
     const when = [{ key: KEY, version }];
     let result: unknown = null;
-    witnessed(store, mirror, KEY, when, [{ put: KEY, value: VALUE }]).then(
+    transactConfirmedByWatch(store, mirror, KEY, when, [{ put: KEY, value: VALUE }]).then(
       (found) => {
         result = found;
       },
@@ -65,7 +65,13 @@
   await clock.run(100);
   const once = () =>
     clock.within(
-      witnessed(store, mirror, KEY, [{ key: KEY, version: 0 }], [{ put: KEY, value: VALUE }]),
+      transactConfirmedByWatch(
+        store,
+        mirror,
+        KEY,
+        [{ key: KEY, version: 0 }],
+        [{ put: KEY, value: VALUE }],
+      ),
     );
   assert.deepEqual(await once(), { ok: true, revision: state.revision });
   // Refused by its condition: what is there is not what this one wrote.
--- a/test/writable.test.ts
+++ b/test/writable.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { coreRecords } from "../src/controller/records.js";
+import { coreRecordValidator } from "../src/controller/record-kinds.js";
 import type { HttpClient } from "../src/http/client.js";
 import { isSummary } from "../src/part/summary.js";
 import { StoreClient, Unwritable } from "../src/state/store.js";
@@ -80,7 +80,7 @@
 for (const { key, good, bad } of cases) {
   test(`records: what is written to ${key} is what its reader takes`, () => {
     const told: string[] = [];
-    const writable = coreRecords((refused) => told.push(refused));
+    const writable = coreRecordValidator((refused) => told.push(refused));
     assert.equal(writable.fault(key, good), null);
     for (const value of bad) assert.notEqual(writable.fault(key, value), null, String(value));
     assert.deepEqual(told, [key], "told once, however often it is tried");
@@ -104,7 +104,7 @@
 test("records: the store's client sends no transaction with one that would be refused", async () => {
   const sent: unknown[] = [];
   const http = { call: async (...args: unknown[]) => sent.push(args) } as unknown as HttpClient;
-  const store = new StoreClient(http, LIMITS, new FakeClock(), 1000, coreRecords());
+  const store = new StoreClient(http, LIMITS, new FakeClock(), 1000, coreRecordValidator());
   const changes = [{ put: "w/q/red", value: { 0: [Number.NaN, 0] } }];
   await assert.rejects(store.transact([], changes), Unwritable);
   assert.deepEqual(sent, []);
