--- a/src/extension/index.ts
+++ b/src/extension/index.ts
@@ -1,6 +1,6 @@
 /**
- * The seam for optional packages: what they may watch, add and decide, and nothing else. The core
- * knows these interfaces; a package is loaded only when the operators' settings hold its message
+ * The interfaces between the core and optional packages: all that a package may watch, add and
+ * decide. A package is loaded only if the operators' settings contain its message
  * (`settings/packages.ts`).
  */
 import type { Clock } from "../clock.js";
@@ -21,21 +21,22 @@
 import type { MachineKind, Resources } from "../workers/machine.js";
 import type { ReportPosition } from "../workers/report-classification.js";
 
-/** What this controller has claimed, and what may be said of the claims of others. */
+/** The claims of this controller, and operations on the claims of others. */
 export interface Claims {
-  /** This run of the process. */
+  /** Identifies this run of the process. */
   readonly run: string;
   readonly stability: ControllerStability;
   /** Whether this controller's lease certainly holds. */
   valid(): boolean;
-  /** What a record has to be attached to that ends with this controller; null without a lease. */
+  /** Lease to attach to records that are to expire with this controller; null without a lease. */
   lease(): number | string | null;
   ownerOf(part: number): string | null;
-  /** Parts that this controller has loaded, and when a worker of each last showed that it took an answer. */
+  /** Parts loaded here, and when a worker of each last proved that it received an answer. */
   served(): { part: number; machines: number; servedAt: number }[];
   /**
-   * Writes all claims of another controller's run for its successors, in one transaction on
-   * condition of their versions and of `when`. False when any of it has changed, or nobody is there.
+   * Writes all claims of another controller's run for its successors, in one transaction that is
+   * conditional on their versions and on `when`. Returns false if any of them has changed, or if
+   * there is no successor.
    */
   reassign(
     name: string,
@@ -43,19 +44,19 @@
     when: readonly Condition[],
     then: readonly Change[],
   ): Promise<boolean>;
-  /** Others should own what this controller has, for a while. */
+  /** Gives up this controller's parts for `forMs`, so that others own them meanwhile. */
   relinquish(forMs: number, why: string): Promise<void>;
 }
 
-/** The other controllers, by frames that may or may not arrive. */
+/** Sends frames to the other controllers; frames may be lost. */
 export interface Peers {
   send(to: string, frame: Frame): void;
   broadcast(frame: Frame): void;
-  /** When anything was last sent to all of them. */
+  /** When a frame was last sent to all of them. */
   sentAt(): number;
 }
 
-/** What every side of a controller, and every package in it, shares. */
+/** What the components of a controller and its packages share. */
 export interface Core {
   readonly settings: Settings;
   readonly log: Log;
@@ -67,110 +68,119 @@
   readonly claims: Claims;
   readonly peers: Peers;
   types(): ReadonlyMap<string, MachineType>;
-  /** Milliseconds since this controller is known to have seen every change. */
+  /** Milliseconds since the last time at which this controller had certainly seen every change. */
   staleness(): number;
-  /** What the owners here know of one job, or of work within guarantees that stands still. For people. */
+  /**
+   * What the owners here know of one job, or of work within guarantees that makes no progress; for
+   * display.
+   */
   inspect(which: Inspected): PartInspection[];
-  /** How rental stands; null: this controller does not lead. */
+  /** State of machine rental; null if this controller is not the leader. */
   rental(): { booting: number; overdue: number; reachable: boolean } | null;
 }
 
-/** A team that the platform does not list: without a guarantee, in a group of the tree. */
+/** A team added by a package: not in the platform's list, without a guarantee, in a group. */
 export interface ExtraTeam {
   name: string;
-  /** The group it belongs to; null for the root. */
+  /** The group that it belongs to; null for the root. */
   group: string | null;
-  /** The most that it may ever use: a task beyond that can never run. */
+  /** The most that it may ever use; a larger task can never run. */
   most: Amounts;
 }
 
-/** What a team may use in one part, in place of a slice of a limit. */
+/** What a team may use in one part; replaces a slice of a limit. */
 export interface Allowance {
-  /** Tasks start as long as they fit into this. */
+  /** Tasks start as long as the team's use stays within this. */
   startLimit: Amounts;
-  /** What runs beyond this is stopped, with time to save. */
+  /** Tasks beyond this are stopped, with time to save a checkpoint. */
   softLimit: Amounts;
-  /** What is there beyond this is stopped at once. */
+  /** Tasks beyond this are stopped at once. */
   hardLimit: Amounts;
 }
 
 /**
- * What a package says about placing. Pure questions on what it has seen, asked in every pass: they
- * have to be cheap.
+ * A package's placement policy. The methods are called in every placement pass, so they must be
+ * cheap and free of side effects.
  */
 export interface PlacementPolicy {
-  /** Whether a team stands behind the others: placed after them, stopped for them at once. */
+  /** Whether a team gives way to all others: placed after them, stopped for them at once. */
   preemptible(team: string): boolean;
-  /** What such a team may use in a part now; null for teams with a limit of the platform's. */
+  /** What a team may use in a part now; null for teams with a limit from the platform. */
   allowance(team: string, part: number): Allowance | null;
   /** Teams that have an allowance. */
   teams(): Iterable<string>;
-  /** Of those that yield, the one worth least is stopped first. */
+  /** Value of a preemptible team's tasks in a part; those with the lowest are stopped first. */
   preemptionValue(team: string, part: number): number;
-  /** CPUs of idle machines that should not go back to the cloud yet. */
+  /** CPUs of idle machines that are not to be returned to the cloud yet. */
   idleCpusToKeep(): number;
-  /** What machines may be rented for, beyond the own teams' need; empty as a rule. */
+  /** Machines that may be rented beyond the need of the platform's teams; usually empty. */
   capacityRequests(): CapacityRequest[];
 }
 
 /**
- * Which machines jobs with expressions may use. Pure questions as well: machines of one kind with
- * the same room have to be answered alike, so that an answer can be kept.
+ * Matches jobs with expressions to machines. Methods that return something must be free of side
+ * effects, and give equal results for machines of one kind with equal free resources, so that
+ * results can be cached.
  */
 export interface JobMatcher {
-  /** How much a job prefers such a machine; null: its tasks may not start there. */
-  rank(spec: JobSpec, on: MachineKind, room: Resources | null): number | null;
-  /** The same question about one job, for whoever goes through all machines. */
-  rankerFor(spec: JobSpec): (on: MachineKind, room: Resources | null) => number | null;
-  /** Whether nothing of a job may start now, whatever room there is. */
+  /** The rank a job gives to such a machine, higher is better; null if it may not start there. */
+  rank(spec: JobSpec, machine: MachineKind, free: Resources | null): number | null;
+  /** `rank` for one job, for loops over all machines. */
+  rankerFor(spec: JobSpec): (machine: MachineKind, free: Resources | null) => number | null;
+  /** Whether no task of a job may start now, whatever is free. */
   cannotStart(id: string, spec: JobSpec): boolean;
-  /** Alike for jobs that get the same answers; null when answers change with room or time. */
+  /** Equal for jobs with the same results; null if these depend on free resources or on time. */
   equivalenceKey(spec: JobSpec): string | null;
-  /** Why a job is held: its tasks are stopped, with time to save; null when it is not. */
+  /** Why a job is held, null if it is not. A held job's tasks are stopped with time to save. */
   holdReason(id: string): string | null;
-  /** How long one of its tasks may run, milliseconds; null for any time. */
+  /** The longest run time of one of its tasks, milliseconds; null for no limit. */
   maxRunMs(spec: JobSpec): number | null;
-  /** How often in a row its tasks may fail; null for any number. */
+  /** How often in a row its tasks may fail; null for no limit. */
   maxRetries(spec: JobSpec): number | null;
-  /** Tells that a job went beyond what it may: it is to be held. May be told again and again. */
+  /** Holds a job that went beyond one of its limits. May be called repeatedly for one job. */
   hold(id: string, reason: string): void;
-  /** Why a submission can never be taken: the status and the reason; null when it can. */
+  /** HTTP status and reason if a submission can never be accepted, else null. */
   rejection(id: string, spec: JobSpec): { status: number; reason: string } | null;
 }
 
-/** What a package does for the leader, as long as a leader's claim holds. */
+/** The period in which this controller is the leader; a package's leader tasks run during it. */
 export interface LeaderTerm {
   /** The fencing token. */
   token: number;
-  /** The leader's claim: what is written on condition of it is written by the leader. */
+  /** The leader's claim; a write that is conditional on it succeeds only for the current leader. */
   claim: Condition;
-  /** Whether we are certainly still the leader. */
+  /** Whether this controller is certainly still the leader. */
   valid(): boolean;
 }
 
-/** A package at work in one controller. */
+/** A package attached to one controller. */
 export interface Attachment {
   start?(): void;
   stop?(): void;
-  /** Requests beside the protocol's paths; null for paths that are not its own. */
+  /** Routes requests on the package's own paths; null for any other path. */
   find?: Router["find"];
   policy?: PlacementPolicy;
   matcher?: JobMatcher;
-  lead?(leading: LeaderTerm): { stop(): void };
-  /** Why a submission that needs the package cannot be taken now, or null. */
+  /** Starts the package's leader tasks when this controller becomes the leader. */
+  lead?(term: LeaderTerm): { stop(): void };
+  /** Why a submission that needs the package cannot be accepted now, or null. */
   refusalReason?(spec: JobSpec): string | null;
-  /** Whether the header of a job that is over has to stay where it is for now. */
+  /** Whether the package still reads the header of a finished job, which is then not archived. */
   needsHeader?(id: string): boolean;
-  /** A frame of another controller, and that its connection was closed from there. */
+  /** Called with a frame from another controller. */
   onFrame?(from: string, frame: Frame): void;
+  /** Called when another controller has closed its connection. */
   onPeerClosed?(from: string): void;
-  /** A machine of another's part came here with a report, under the highest token it has seen. */
-  onMisroutedReport?(part: number, machine: string, token: number, mark: ReportPosition): void;
-  /** Whether there is doubt that another controller serves: nothing new is given to it. */
+  /**
+   * Called when a machine of another owner's part reports here; `token` is the highest fencing token
+   * that its worker has seen.
+   */
+  onMisroutedReport?(part: number, machine: string, token: number, position: ReportPosition): void;
+  /** Whether another controller is suspected to have failed; nothing new is assigned to it. */
   isSuspected?(name: string): boolean;
   /** For `/about/status`. */
   status?(): object;
-  /** Figures in the text format of `/metrics`, beside the core's. */
+  /** Additional metrics, in the text format of `/metrics`. */
   metrics?(): string;
 }
 
@@ -180,8 +190,8 @@
   attach(core: Core): Attachment;
 }
 
-/** The controllers that serve, by name, with the packages that they have. */
-function serving({ layout, mirror }: Core): [string, unknown[]][] {
+/** The controllers that are present, by name, with the packages that they have. */
+function packagesByController({ layout, mirror }: Core): [string, unknown[]][] {
   return layout.members.flatMap(({ name }): [string, unknown[]][] => {
     const row = mirror.rows.get(keys.node(name));
     if (row === undefined) return [];
@@ -191,12 +201,12 @@
 }
 
 /**
- * The controllers that serve without a package, by name: they would not do for its jobs what it
- * promises. While there is one, such jobs are not taken.
+ * Names of the controllers that lack a package. They would not handle jobs that need it, so such
+ * jobs are not accepted while there is one.
  */
 export const controllersWithoutPackage = (name: string, core: Core): string[] =>
-  serving(core).flatMap(([node, speaks]) => (speaks.includes(name) ? [] : [node]));
+  packagesByController(core).flatMap(([node, speaks]) => (speaks.includes(name) ? [] : [node]));
 
 /** Whether some controller has a package. */
 export const isPackagePresent = (name: string, core: Core): boolean =>
-  serving(core).some(([, speaks]) => speaks.includes(name));
+  packagesByController(core).some(([, speaks]) => speaks.includes(name));
--- a/src/fair/on-time-jobs.ts
+++ b/src/fair/on-time-jobs.ts
@@ -1,51 +1,56 @@
-/** A job as far as it matters for whether it can be in time. */
+/** What is needed of a job to decide whether it can be complete by its due time. */
 export interface DueJob {
   id: string;
   rank: number;
-  /** Seconds from now until it should be complete. */
+  /** Seconds from now until its due time. */
   leftS: number;
-  /** One of its tasks, by the owner's estimate, in seconds. */
+  /** The user's estimate for the run time of one task, in seconds. */
   taskS: number;
-  /** All that is left of it: CPUs times seconds. */
+  /** Remaining work of the job, in CPU seconds. */
   work: number;
 }
 
 /**
- * Estimates are often wrong by half (PROTOCOL): a job counts as too late by itself only when even
- * half of its estimate does not fit before it is due.
+ * Estimates are often wrong by half (PROTOCOL), so a job is only considered unable to meet its due
+ * time when not even this fraction of its estimate fits before it.
  */
-const HOPE = 0.5;
+const MIN_ESTIMATE_FRACTION = 0.5;
 
-/** Whether one task alone takes too long. */
-export const tooLate = (leftS: number, taskS: number): boolean => leftS <= taskS * HOPE;
+/** Whether even a task that starts now would miss the due time. */
+export const cannotBeOnTime = (dueInS: number, taskEstimateS: number): boolean =>
+  dueInS <= taskEstimateS * MIN_ESTIMATE_FRACTION;
 
 /**
- * Which of a team's jobs to finish in time, so that as many as possible are: taken in the order in
- * which they are due, and where one would be late, the largest so far is given up (Moore and
- * Hodgson). Going by due times alone, one huge job that cannot make it makes all after it late.
- * Higher priorities come first; one of theirs that is given up comes after lower ones in time.
+ * Selects the largest possible number of a team's jobs that can all meet their due times (the
+ * Moore-Hodgson algorithm). Jobs are accepted by earliest due time; when one would be late, the
+ * accepted job with the most work is dropped. With earliest due time alone, one huge job that is
+ * late anyway would make all jobs after it late.
+ *
+ * Priorities are handled from the highest to the lowest. A dropped job of a higher priority comes
+ * after on-time jobs of lower priorities.
  */
 export function selectOnTimeJobs(jobs: readonly DueJob[], cpus: number): Set<string> {
-  const kept = new Set<string>();
+  const onTime = new Set<string>();
   const ranks = [...new Set(jobs.map(({ rank }) => rank))].sort((a, b) => b - a);
-  let before = 0;
+  let acceptedWork = 0;
   for (const rank of ranks) {
-    const mine = jobs.filter((job) => job.rank === rank).sort((a, b) => a.leftS - b.leftS);
-    const chosen: DueJob[] = [];
-    let sum = before;
-    for (const job of mine) {
-      if (tooLate(job.leftS, job.taskS)) continue;
-      chosen.push(job);
-      sum += job.work;
-      if (sum / cpus <= job.leftS) continue;
+    const byDueTime = jobs.filter((job) => job.rank === rank).sort((a, b) => a.leftS - b.leftS);
+    const accepted: DueJob[] = [];
+    let totalWork = acceptedWork;
+    for (const job of byDueTime) {
+      if (cannotBeOnTime(job.leftS, job.taskS)) continue;
+      accepted.push(job);
+      totalWork += job.work;
+      if (totalWork / cpus <= job.leftS) continue;
       let largest = 0;
-      for (const [i, { work }] of chosen.entries()) if (work > chosen[largest]!.work) largest = i;
-      sum -= chosen.splice(largest, 1)[0]!.work;
+      for (const [i, { work }] of accepted.entries())
+        if (work > accepted[largest]!.work) largest = i;
+      totalWork -= accepted.splice(largest, 1)[0]!.work;
     }
-    for (const { id, work } of chosen) {
-      kept.add(id);
-      before += work;
+    for (const { id, work } of accepted) {
+      onTime.add(id);
+      acceptedWork += work;
     }
   }
-  return kept;
+  return onTime;
 }
--- a/src/fair/share.ts
+++ b/src/fair/share.ts
@@ -1,4 +1,4 @@
-/** Amounts of what teams share. */
+/** Amounts of the resources that teams share. */
 export interface Amounts {
   cpus: number;
   gpus: number;
@@ -16,21 +16,21 @@
 export const fitsWithin = (a: Amounts, limit: Amounts): boolean =>
   a.cpus <= limit.cpus + EPSILON && a.gpus <= limit.gpus + EPSILON;
 
-/** A team, or a group of teams and groups. The root has no parent and stands for everything. */
+/** A team, or a group of teams and groups. The root has no parent and contains all of them. */
 export interface Group {
   name: string;
   parent: string | null;
   weight: number;
-  /** A team's guarantee; for a group the sum over its members. */
+  /** The guarantee of a team; for a group, the sum over its members. */
   nominal: Amounts;
-  /** What it lends to others at most; without it, all of its guarantee. */
+  /** The most that the group lends to others; if absent, its whole guarantee. */
   lending?: Amounts;
 }
 
 export const ROOT = "";
 const NOTHING: Amounts = { cpus: 0, gpus: 0 };
 
-/** The tree of teams with their use. Use is counted at every level from a team to the root. */
+/** The tree of teams and groups with their use. Use is counted at each level from team to root. */
 export class ShareTree {
   readonly #groups = new Map<string, Group>();
   readonly #paths = new Map<string, string[]>();
@@ -53,7 +53,7 @@
     }
   }
 
-  /** From the team up to the root. */
+  /** Names from the team up to the root. */
   path(team: string): string[] {
     return this.#paths.get(team) ?? [];
   }
@@ -70,6 +70,7 @@
     }
   }
 
+  /** Whether the group's use, plus `extra`, is above its guarantee in any resource. */
   borrows(group: string, extra: Amounts = NOTHING): boolean {
     const { nominal } = this.#groups.get(group)!;
     const use = this.use(group);
@@ -80,31 +81,31 @@
   }
 
   /**
-   * The largest ratio, over the resources, of what a group uses above its guarantee and what its
-   * parent's members guarantee (or lend) together, divided by its weight. KEP-1714, "Share value
-   * function and weights".
+   * The group's use above its guarantee, divided by what its parent lends or else guarantees as a
+   * whole, and by the group's weight; of the resources, the one with the largest ratio counts. See
+   * KEP-1714, "Share value function and weights".
    */
   share(group: string, extra: Amounts = { cpus: 0, gpus: 0 }): number {
-    const own = this.#groups.get(group)!;
-    if (own.parent === null) return 0;
-    const parent = this.#groups.get(own.parent)!;
+    const ownGroup = this.#groups.get(group)!;
+    if (ownGroup.parent === null) return 0;
+    const parent = this.#groups.get(ownGroup.parent)!;
     const pool = parent.lending ?? parent.nominal;
-    const over = subtractAmounts(addAmounts(this.use(group), extra), own.nominal);
+    const over = subtractAmounts(addAmounts(this.use(group), extra), ownGroup.nominal);
     const ratio = (above: number, of: number): number =>
       above <= EPSILON ? 0 : of > 0 ? above / of : Number.POSITIVE_INFINITY;
-    return Math.max(ratio(over.cpus, pool.cpus), ratio(over.gpus, pool.gpus)) / own.weight;
+    return Math.max(ratio(over.cpus, pool.cpus), ratio(over.gpus, pool.gpus)) / ownGroup.weight;
   }
 
-  /** How much of its guarantee a team uses, by the resource it uses most of. */
+  /** The fraction of its guarantee that a team uses; the largest over the resources. */
   guaranteeUse(team: string): number {
-    // A team that this controller does not know may have jobs: another controller took them.
+    // A team that is unknown here may have jobs, which another controller has accepted.
     const nominal = this.#groups.get(team)?.nominal ?? NOTHING;
     const use = this.use(team);
     const ratio = (used: number, of: number): number => (of > 0 ? used / of : used > 0 ? 1 : 0);
     return Math.max(ratio(use.cpus, nominal.cpus), ratio(use.gpus, nominal.gpus));
   }
 
-  /** Shares from below the root down to the team: compared level by level. */
+  /** Shares from the level below the root down to the team, for `compareShares`. */
   shares(team: string): number[] {
     return this.path(team)
       .slice(0, -1)
@@ -112,33 +113,34 @@
       .map((group) => this.share(group));
   }
 
-  /** The sibling groups, below the lowest common ancestor, that hold `x` and `y`. */
+  /** The groups directly below the lowest common ancestor of `x` and `y` that contain them. */
   siblings(x: string, y: string): { x: string; y: string } | null {
-    let known = this.#siblings.get(x);
-    if (known === undefined) {
-      known = new Map();
-      this.#siblings.set(x, known);
+    let pairsOfX = this.#siblings.get(x);
+    if (pairsOfX === undefined) {
+      pairsOfX = new Map();
+      this.#siblings.set(x, pairsOfX);
     }
-    let pair = known.get(y);
+    let pair = pairsOfX.get(y);
     if (pair === undefined) {
       pair = this.#findSiblings(x, y);
-      known.set(y, pair);
+      pairsOfX.set(y, pair);
     }
     return pair;
   }
 
   #findSiblings(x: string, y: string): { x: string; y: string } | null {
     const ancestors = new Set(this.path(x));
-    const path = this.path(y);
-    const at = path.findIndex((group) => ancestors.has(group));
-    if (at <= 0) return null;
-    const common = path[at]!;
-    const mine = this.path(x);
-    const below = mine.indexOf(common) - 1;
-    return below < 0 ? null : { x: mine[below]!, y: path[at - 1]! };
+    const pathOfY = this.path(y);
+    const indexInY = pathOfY.findIndex((group) => ancestors.has(group));
+    if (indexInY <= 0) return null;
+    const common = pathOfY[indexInY]!;
+    const pathOfX = this.path(x);
+    const indexInX = pathOfX.indexOf(common) - 1;
+    return indexInX < 0 ? null : { x: pathOfX[indexInX]!, y: pathOfY[indexInY - 1]! };
   }
 }
 
+/** Compares shares level by level, from the root down. */
 export function compareShares(a: number[], b: number[]): number {
   for (let i = 0; i < Math.max(a.length, b.length); i++) {
     const difference = (a[i] ?? 0) - (b[i] ?? 0);
--- a/src/fair/victim-selection.ts
+++ b/src/fair/victim-selection.ts
@@ -1,35 +1,40 @@
 import { type Amounts, compareShares, EPSILON, type ShareTree } from "./share.js";
 
-/** Something that may be stopped: one task of an array, or all that must stop together. */
+/** A candidate for preemption: one task of an array, or all tasks that must stop together. */
 export interface Victim {
   id: string;
   team: string;
-  /** Lower is stopped first. */
+  /** The job's priority; lower ones are stopped first. */
   rank: number;
   size: Amounts;
-  /** Saved work first, among otherwise equal ones. */
+  /** Work lost by stopping it; among otherwise equal victims, the smallest loss is stopped first. */
   loss: number;
   /**
-   * Its team has no guarantee, so all that it runs is lent to it, and stopping it costs no more than
-   * its save: such room is given back without waiting for as long as another's would have to be.
+   * Its team has no guarantee, so all that it runs is lent, and stopping it costs no more than
+   * saving a checkpoint. Lent resources are taken back after a shorter wait than those of others.
    */
   lent?: boolean;
-  /** Stands behind the asker whatever the shares: what it is worth, the least is stopped first. */
+  /**
+   * Set for a task of a preemptible team, which may be stopped whatever the shares are. The lowest
+   * value is stopped first.
+   */
   preemptionValue?: number;
 }
 
+/** A waiting job for which others may be stopped. */
 export interface Preemptor {
   team: string;
   rank: number;
   size: Amounts;
-  /** It fits into its team's guarantee: priorities and guarantees then work without delay. */
+  /** It fits into its team's guarantee; preemption by priority and guarantee is then immediate. */
   withinGuarantee: boolean;
-  /** Its team has no guarantee: it borrows what is idle, and has no other team's task stopped. */
+  /** Its team has no guarantee: it uses idle resources only and preempts no other team. */
   borrower?: boolean;
   /**
-   * Otherwise one victim may lose this much work at most, in the unit of its `loss`, and
-   * `maxFairLoss` where shares are evened out (S2). KEP-1714 asks for a minimum run time and a
-   * delay against churn ("Risks and Mitigations"); this is both in one.
+   * The most work that one victim may lose when the preemptor is not within its guarantee, in the
+   * unit of `Victim.loss`. `maxFairLoss` is the same bound where shares are evened out (S2).
+   * KEP-1714 asks for a minimum run time and a delay against churn ("Risks and Mitigations");
+   * these bounds provide both.
    */
   maxLoss: number;
   maxFairLoss: number;
@@ -37,17 +42,25 @@
 
 export type PreemptionReason = "priority" | "reclaim" | "lent" | "fair" | "greedy" | "yield";
 
+/** A victim, and why it may be stopped. */
 export interface SelectedVictim {
   victim: Victim;
   reason: PreemptionReason;
 }
 
-/** The groups to compare, when the victim's team borrows on all of its way up to them. */
-function blamed(tree: ShareTree, asker: string, victim: string): { x: string; y: string } | null {
-  const groups = tree.siblings(asker, victim);
+/**
+ * The sibling groups of preemptor and victim to compare, or null if the victim may not be stopped:
+ * each group from the victim's team up to its sibling group must use more than its guarantee.
+ */
+function borrowingSiblings(
+  tree: ShareTree,
+  preemptorTeam: string,
+  victimTeam: string,
+): { x: string; y: string } | null {
+  const groups = tree.siblings(preemptorTeam, victimTeam);
   if (groups === null) return null;
-  // Someone who uses only what is guaranteed, anywhere on the way up, is not to blame.
-  for (const group of tree.path(victim)) {
+  // A victim below any group that stays within its guarantee is protected.
+  for (const group of tree.path(victimTeam)) {
     if (!tree.borrows(group)) return null;
     if (group === groups.y) break;
   }
@@ -55,98 +68,104 @@
 }
 
 /**
- * Why `victim` may be stopped for `asker`, or null. `reclaim` is S1 of KEP-1714, `fair` S2-a and
- * `greedy` S2-b; `priority` is what PROTOCOL allows inside a team.
+ * Why `victim` may be stopped for `preemptor`, or null. `reclaim` is rule S1 of KEP-1714, `fair` is
+ * S2-a and `greedy` is S2-b; `priority` is what PROTOCOL allows inside a team.
  */
 export function preemptionReason(
   tree: ShareTree,
-  asker: Preemptor,
+  preemptor: Preemptor,
   victim: Victim,
 ): PreemptionReason | null {
   if (victim.preemptionValue !== undefined) return "yield";
-  const affordable = asker.withinGuarantee || victim.loss <= asker.maxLoss;
-  if (victim.team === asker.team) {
-    return affordable && victim.rank < asker.rank ? "priority" : null;
+  const affordable = preemptor.withinGuarantee || victim.loss <= preemptor.maxLoss;
+  if (victim.team === preemptor.team) {
+    return affordable && victim.rank < preemptor.rank ? "priority" : null;
   }
-  if (asker.borrower === true) return null;
-  const groups = blamed(tree, asker.team, victim.team);
+  if (preemptor.borrower === true) return null;
+  const groups = borrowingSiblings(tree, preemptor.team, victim.team);
   if (groups === null) return null;
-  if (!tree.borrows(groups.x, asker.size)) return affordable ? "reclaim" : null;
-  const late = victim.loss > asker.maxFairLoss;
-  if (late && (victim.lent !== true || asker.maxLoss < 0)) return null;
-  const mine = tree.share(groups.x, asker.size);
-  const without = tree.share(groups.y, {
+  if (!tree.borrows(groups.x, preemptor.size)) return affordable ? "reclaim" : null;
+  const exceedsFairLoss = victim.loss > preemptor.maxFairLoss;
+  if (exceedsFairLoss && (victim.lent !== true || preemptor.maxLoss < 0)) return null;
+  const preemptorShare = tree.share(groups.x, preemptor.size);
+  const shareAfterStop = tree.share(groups.y, {
     cpus: -victim.size.cpus,
     gpus: -victim.size.gpus,
   });
-  if (without >= mine - EPSILON && victim.rank <= asker.rank) return late ? "lent" : "fair";
-  if (late) return null;
-  if (tree.share(groups.y) > mine + EPSILON && victim.rank <= asker.rank) return "greedy";
+  if (shareAfterStop >= preemptorShare - EPSILON && victim.rank <= preemptor.rank)
+    return exceedsFairLoss ? "lent" : "fair";
+  if (exceedsFairLoss) return null;
+  if (tree.share(groups.y) > preemptorShare + EPSILON && victim.rank <= preemptor.rank)
+    return "greedy";
   return null;
 }
 
-/** Whether any task of another team can be stopped for `asker` at all: a quick look before others. */
+/**
+ * Whether any task of `team`, another team than the preemptor's, could be stopped for `preemptor`:
+ * a quick check before single victims are examined.
+ */
 export function canPreemptFrom(
   tree: ShareTree,
-  asker: Preemptor,
+  preemptor: Preemptor,
   team: string,
   lent: boolean,
 ): boolean {
-  if (asker.borrower === true) return false;
-  const groups = blamed(tree, asker.team, team);
+  if (preemptor.borrower === true) return false;
+  const groups = borrowingSiblings(tree, preemptor.team, team);
   if (groups === null) return false;
-  if (!tree.borrows(groups.x, asker.size) || asker.maxFairLoss >= 0) return true;
-  return lent && asker.maxLoss >= 0;
+  if (!tree.borrows(groups.x, preemptor.size) || preemptor.maxFairLoss >= 0) return true;
+  return lent && preemptor.maxLoss >= 0;
 }
 
 /**
- * Picks what to stop so that `fits` becomes true: from the highest share (C1), then the lowest
- * priority (C2), then the smallest (C3). S2-b is used only when nothing else is left. Picks that
- * turn out not to be needed are put back.
+ * Selects victims until `fits` returns true: from the highest share (C1), then the lowest priority
+ * (C2), then the smallest size (C3). Victims by S2-b are selected only when no others remain.
+ * Victims that turn out not to be needed are removed again. Returns none if `fits` stays false.
  */
 export function chooseVictims(
   tree: ShareTree,
-  asker: Preemptor,
+  preemptor: Preemptor,
   victims: readonly Victim[],
   fits: (stopped: ReadonlySet<string>) => boolean,
-  most: number,
+  maxVictims: number,
 ): SelectedVictim[] {
-  const picked: SelectedVictim[] = [];
+  const selected: SelectedVictim[] = [];
   const stopped = new Set<string>();
-  const left = new Set(victims);
-  while (!fits(stopped) && picked.length < most) {
+  const remaining = new Set(victims);
+  while (!fits(stopped) && selected.length < maxVictims) {
     let best: SelectedVictim | null = null;
     let bestShares: number[] = [];
-    for (const victim of left) {
-      const reason = preemptionReason(tree, asker, victim);
+    for (const victim of remaining) {
+      const reason = preemptionReason(tree, preemptor, victim);
       if (reason === null) continue;
       const shares = tree.shares(victim.team);
-      if (best === null || before(victim, reason, shares, best, bestShares)) {
+      if (best === null || isPreferred(victim, reason, shares, best, bestShares)) {
         best = { victim, reason };
         bestShares = shares;
       }
     }
     if (best === null) break;
-    left.delete(best.victim);
+    remaining.delete(best.victim);
     stopped.add(best.victim.id);
     tree.charge(best.victim.team, best.victim.size, -1);
-    picked.push(best);
+    selected.push(best);
   }
-  const enough = fits(stopped);
-  const kept: SelectedVictim[] = [];
-  for (const pick of picked) {
-    // Put back what frees nothing that is needed.
-    stopped.delete(pick.victim.id);
-    if (enough && !fits(stopped)) {
-      stopped.add(pick.victim.id);
-      kept.push(pick);
+  const sufficient = fits(stopped);
+  const needed: SelectedVictim[] = [];
+  for (const selection of selected) {
+    // Drop the victim if the preemptor fits without it.
+    stopped.delete(selection.victim.id);
+    if (sufficient && !fits(stopped)) {
+      stopped.add(selection.victim.id);
+      needed.push(selection);
     }
   }
-  for (const pick of picked) tree.charge(pick.victim.team, pick.victim.size, 1);
-  return enough ? kept : [];
+  for (const selection of selected) tree.charge(selection.victim.team, selection.victim.size, 1);
+  return sufficient ? needed : [];
 }
 
-function before(
+/** Whether `victim` is to be stopped rather than `best`. */
+function isPreferred(
   victim: Victim,
   reason: PreemptionReason,
   shares: number[],
@@ -156,8 +175,8 @@
   if ((reason === "greedy") !== (best.reason === "greedy")) return best.reason === "greedy";
   if ((reason === "yield") !== (best.reason === "yield")) return reason === "yield";
   const other = best.victim;
-  // What is lent, and costs no more than a save, goes before what others lose: by shares alone, a
-  // team with little weight lost tasks that do not save while guests' tasks ran on.
+  // Lent tasks, whose stop costs no more than a checkpoint, come first. By shares alone, a team
+  // with a low weight lost tasks that save no checkpoints while tasks of guests kept running.
   if ((victim.lent === true) !== (other.lent === true)) return victim.lent === true;
   if (victim.preemptionValue !== other.preemptionValue)
     return (victim.preemptionValue ?? 0) < (other.preemptionValue ?? 0);
--- a/src/jobs/cancel.ts
+++ b/src/jobs/cancel.ts
@@ -5,9 +5,9 @@
 import { cancelledHeader, type JobHeader } from "./job-header.js";
 
 /**
- * Cancels an open job whose header was read at a version. The version that it has then, or null when
- * it has changed since. After
- * an error it may have come to pass all the same: read the header again before going on.
+ * Cancels an open job whose header was read at `version`. Returns the new version of the header, or
+ * null if it has changed since it was read. After an error the write may still have been applied:
+ * read the header again before continuing.
  */
 export async function tryCancel(
   store: Store,
@@ -15,23 +15,24 @@
   id: string,
   { header, version }: { header: JobHeader; version: number },
 ): Promise<number | null> {
-  const next = cancelledHeader(header, mirror.clock.wall());
-  const mark = mirror.listingEpoch();
+  const cancelled = cancelledHeader(header, mirror.clock.wall());
+  const epoch = mirror.listingEpoch();
   const result = await transactConfirmedByWatch(
     store,
     mirror,
     keys.job(id),
     [{ key: keys.job(id), version }],
     [
-      { put: keys.job(id), value: next },
-      // Placements that do not know of it yet depend on this key's former version.
+      { put: keys.job(id), value: cancelled },
+      // Write batches with placements are conditional on this key's version: one that does not
+      // take this cancellation into account fails.
       { put: keys.cancels, value: id },
     ],
   );
   if (!result.ok) return null;
   mirror.applyIfNotRelisted(
-    { key: keys.job(id), value: next, version: result.revision, deleted: false },
-    mark,
+    { key: keys.job(id), value: cancelled, version: result.revision, deleted: false },
+    epoch,
   );
   return result.revision;
 }
--- a/src/jobs/chunk.ts
+++ b/src/jobs/chunk.ts
@@ -1,15 +1,16 @@
 import type { JobSpec } from "../wire/jobs.js";
 
-/** What the store keeps of a chunk of tasks: written by its part's owner alone. */
+/** The stored state of a chunk of tasks; only the owner of its part writes it. */
 export interface ChunkState {
   /** Highest attempt number given out so far. */
   attempts: number;
   /** Completed tasks as ranges, relative to the first task: `0-3,7`. */
   done: string;
-  /** Placed tasks, proved gone not yet. */
+  /** Allocations: tasks that are placed and not proved gone. */
   live: { index: number; attempt: number; machine: string }[];
 }
 
+/** A task attempt that is placed on a machine and not proved gone. */
 export interface Allocation {
   readonly chunk: Chunk;
   readonly task: string;
@@ -18,14 +19,14 @@
   readonly machine: string;
   /** Version of the chunk that first contains this placement. */
   readonly version: number;
-  /** When this owner placed it, or loaded it. */
+  /** When this owner placed it, or loaded it from the store. */
   readonly since: number;
-  /** The report in whose answer the start was last sent. */
+  /** The report in whose answer the start command was last sent. */
   startSentIn: { session: number; seq: number } | null;
   /** When a report first listed it. */
   firstReportedAt: number | null;
   running: boolean;
-  /** Why it is being stopped, with the time given to save. */
+  /** Why it is being stopped, and how long it may take to save a checkpoint. */
   stopRequest: { graceS: number; reason: string; askedAt: number } | null;
 }
 
@@ -34,18 +35,18 @@
   readonly done: Uint8Array;
   doneCount = 0;
   readonly allocations = new Map<number, Allocation>();
-  /** The page of the store that holds it; null while there is nothing to keep. */
+  /** Number of the page that stores it; null while it has no state to store. */
   page: number | null = null;
-  /** Further pages with a part each of what is live, where it is too much for one. */
+  /** Further pages with the rest of its allocations, if they do not fit one page. */
   extraPages: readonly number[] = [];
-  /** Version of what it brought along from another part, until that is in a page; else 0. */
+  /** Version of the handover record from another part, until its state is in a page; else 0. */
   handoverVersion = 0;
-  /** Counts changes in memory; `savedVersion` is the last one known to be in the store. */
+  /** Number of changes in memory; `savedVersion` is the last one known to be in the store. */
   version = 0;
   savedVersion = 0;
-  /** Tasks before this one are all placed or done. */
-  cursor = 0;
-  /** The part that it is being handed to; nothing of it is placed meanwhile. */
+  /** All tasks before this one are placed or done. */
+  scanStart = 0;
+  /** The part to which it is being handed over; meanwhile none of its tasks are placed. */
   movingTo: number | null = null;
 
   constructor(
@@ -54,7 +55,7 @@
     readonly index: number,
     readonly firstTask: number,
     readonly size: number,
-    /** When this owner got it. */
+    /** When this owner received it. */
     readonly since: number,
   ) {
     this.done = new Uint8Array(size);
@@ -68,11 +69,11 @@
     return this.doneCount === this.size;
   }
 
-  /** The next task that is neither done nor placed, relative to the chunk. */
+  /** Index in the chunk of the next task that is neither done nor placed; null if there is none. */
   nextPending(): number | null {
-    for (let i = this.cursor; i < this.size; i++) {
+    for (let i = this.scanStart; i < this.size; i++) {
       if (this.done[i] === 0 && !this.allocations.has(i)) {
-        this.cursor = i;
+        this.scanStart = i;
         return i;
       }
     }
@@ -82,7 +83,7 @@
   place(index: number, machine: string, now: number): Allocation {
     this.version++;
     this.attempts++;
-    const live: Allocation = {
+    const allocation: Allocation = {
       chunk: this,
       task: `${this.job}/${this.firstTask + index}`,
       index,
@@ -95,24 +96,24 @@
       running: false,
       stopRequest: null,
     };
-    this.allocations.set(index, live);
-    return live;
+    this.allocations.set(index, allocation);
+    return allocation;
   }
 
-  /** The task is proved gone from its machine, with or without having completed. */
-  release(live: Allocation, completed: boolean): void {
-    if (this.allocations.get(live.index) !== live) return;
+  /** Removes an allocation whose task is proved gone from its machine, completed or not. */
+  release(allocation: Allocation, completed: boolean): void {
+    if (this.allocations.get(allocation.index) !== allocation) return;
     this.version++;
-    this.allocations.delete(live.index);
+    this.allocations.delete(allocation.index);
     if (completed) {
-      this.done[live.index] = 1;
+      this.done[allocation.index] = 1;
       this.doneCount++;
     } else {
-      this.cursor = Math.min(this.cursor, live.index);
+      this.scanStart = Math.min(this.scanStart, allocation.index);
     }
   }
 
-  /** A task that was not placed is known to have completed: its worker still tells so. */
+  /** Marks a task as done that is not placed: its worker still reports that it has completed. */
   markDone(index: number): boolean {
     if (index < 0 || index >= this.size || this.done[index] !== 0 || this.allocations.has(index)) {
       return false;
@@ -129,7 +130,7 @@
       attempt,
       machine,
     }));
-    return { attempts: this.attempts, done: ranges(this.done), live };
+    return { attempts: this.attempts, done: encodeRanges(this.done), live };
   }
 
   load(state: ChunkState, now: number): void {
@@ -159,13 +160,14 @@
   }
 }
 
-export function ranges(flags: Uint8Array): string {
-  const out: string[] = [];
+/** The indexes of the non-zero flags as ranges: `0-3,7`. */
+export function encodeRanges(flags: Uint8Array): string {
+  const encoded: string[] = [];
   for (let i = 0; i < flags.length; i++) {
     if (flags[i] === 0) continue;
     const from = i;
     while (i + 1 < flags.length && flags[i + 1] !== 0) i++;
-    out.push(from === i ? `${from}` : `${from}-${i}`);
+    encoded.push(from === i ? `${from}` : `${from}-${i}`);
   }
-  return out.join(",");
+  return encoded.join(",");
 }
--- a/src/jobs/due-time.ts
+++ b/src/jobs/due-time.ts
@@ -1,23 +1,23 @@
 import type { JobSpec } from "../wire/jobs.js";
 
-/** By class, what the operators' aims say: seconds after submission. */
+/** The operators' targets for a class of jobs, in seconds after submission; null for none. */
 export interface Target {
-  finishedS: number | null;
-  startedS: number | null;
+  finishWithinS: number | null;
+  startWithinS: number | null;
 }
 export type Targets = ReadonlyMap<string, Target>;
 
-/** Several aims of one kind for a class: the earliest orders the jobs. */
+/** Targets by class, from the objectives in the settings; of several of one kind, the earliest. */
 export function targetsOf(
   objectives: readonly { kind: string; class?: string; within_s?: number }[],
 ): Targets {
   const targets = new Map<string, Target>();
-  const earlier = (a: number | null, b: number): number => (a === null ? b : Math.min(a, b));
+  const earliest = (a: number | null, b: number): number => (a === null ? b : Math.min(a, b));
   for (const { kind, class: name, within_s } of objectives) {
     if (name === undefined || within_s === undefined) continue;
-    const target = targets.get(name) ?? { finishedS: null, startedS: null };
-    if (kind === "finished") target.finishedS = earlier(target.finishedS, within_s);
-    else if (kind === "wait") target.startedS = earlier(target.startedS, within_s);
+    const target = targets.get(name) ?? { finishWithinS: null, startWithinS: null };
+    if (kind === "finished") target.finishWithinS = earliest(target.finishWithinS, within_s);
+    else if (kind === "wait") target.startWithinS = earliest(target.startWithinS, within_s);
     else continue;
     targets.set(name, target);
   }
@@ -25,23 +25,23 @@
 }
 
 /**
- * When a job should be complete, by the time of day: by its own deadline, else by the earliest aim
- * for its class, where one for its start leaves it the time that a task takes. Infinity if nobody
- * said. In a backlog an early aim serves a later one too: whoever is given up for it would have
- * made everyone behind it late.
+ * When a job should be complete, as wall clock time in milliseconds: by its own deadline, else by
+ * the earliest target for its class; a target for the start counts with a task's estimated run time
+ * added. Infinity if there is neither. Using only the earliest target also helps to meet later ones
+ * in a backlog: a job that is dropped because of it would have made all jobs after it late.
  */
 export function dueTime(
   spec: JobSpec,
-  at: number,
+  acceptedAt: number,
   targets: Targets,
-  /** From when aims for its class count: later than `at` for a job that awaited others. */
-  since: number = at,
+  /** When the class targets start to count; after `acceptedAt` for a job that awaited others. */
+  classTimesFrom: number = acceptedAt,
 ): number {
-  if (spec.deadlineS !== null) return at + spec.deadlineS * 1000;
-  const { finishedS = null, startedS = null } = targets.get(spec.class) ?? {};
+  if (spec.deadlineS !== null) return acceptedAt + spec.deadlineS * 1000;
+  const { finishWithinS = null, startWithinS = null } = targets.get(spec.class) ?? {};
   const afterS = Math.min(
-    finishedS ?? Number.POSITIVE_INFINITY,
-    startedS === null ? Number.POSITIVE_INFINITY : startedS + spec.estimateS,
+    finishWithinS ?? Number.POSITIVE_INFINITY,
+    startWithinS === null ? Number.POSITIVE_INFINITY : startWithinS + spec.estimateS,
   );
-  return since + afterS * 1000;
+  return classTimesFrom + afterS * 1000;
 }
--- a/src/jobs/job-header.ts
+++ b/src/jobs/job-header.ts
@@ -1,29 +1,30 @@
 import type { JobSpec, JobStatus } from "../wire/jobs.js";
 
 /**
- * One per job, in the store. `owners` has one character a chunk of tasks: the part that runs it
- * (base 36), or `x` when all its tasks have completed. Any controller may change a header, always
- * on condition of the version it has read; so the first of `done` and `cancelled` wins.
+ * The stored record of a job. `owners` has one character per chunk of tasks: the part that runs it
+ * (base 36), `x` when all its tasks have completed, or `-` when the job is cancelled and the part
+ * has released it. Any controller may change a header, but only on condition that its version is
+ * still the one that was read, so the first of `done` and `cancelled` is final.
  */
 export interface JobHeader {
   status: "open" | "done" | "cancelled";
-  /** Absent once the job is over. */
+  /** Absent once the job is done, or cancelled and fully released. */
   spec?: JobSpec;
   owners: string;
   chunkSize: number;
-  /** Time of day of acceptance, milliseconds. */
+  /** Wall clock time of acceptance, milliseconds. */
   at: number;
   started: boolean;
-  /** How often chunks of it have changed parts. */
+  /** How often one of its chunks was handed over to another part. */
   moves: number;
   tasks: number;
-  /** Once it is over: whose it was, and the time of day. Absent in records of 0.1.0. */
+  /** Set once the job is finished: its team, and when it finished. Absent in records of 0.1.0. */
   team?: string;
   over?: number;
 }
 
 export const FINISHED = "x";
-/** In place of a part that has nothing more to do with a chunk of a cancelled job. */
+/** Owner character of a chunk of a cancelled job that its part has released. */
 export const RELEASED = "-";
 export const partChar = (part: number): string => part.toString(36);
 
@@ -33,27 +34,30 @@
 
 export const allFinished = (owners: string): boolean => /^x*$/.test(owners);
 
-/** How many chunks are not finished. */
+/** Number of chunks that are not finished. */
 export function unfinishedChunks(owners: string): number {
-  let left = 0;
-  for (const owner of owners) if (owner !== FINISHED) left++;
-  return left;
+  let unfinished = 0;
+  for (const owner of owners) if (owner !== FINISHED) unfinished++;
+  return unfinished;
 }
 
-export function doneHeader(header: JobHeader, wall: number): JobHeader {
+export function doneHeader(header: JobHeader, now: number): JobHeader {
   const { spec, ...rest } = header;
   const team = spec === undefined ? {} : { team: spec.team };
-  return { ...rest, ...team, status: "done", owners: "", over: Math.round(wall) };
+  return { ...rest, ...team, status: "done", owners: "", over: Math.round(now) };
 }
 
-/** A cancelled job keeps its owners: they still have tasks to stop and records to delete. */
-export const cancelledHeader = (header: JobHeader, wall: number): JobHeader => ({
+/** A cancelled job keeps its owners, which still have tasks to stop and records to delete. */
+export const cancelledHeader = (header: JobHeader, now: number): JobHeader => ({
   ...header,
   status: "cancelled",
-  over: Math.round(wall),
+  over: Math.round(now),
 });
 
-/** A cancelled job of which a part has nothing left; once no part has, nothing is run by its spec. */
+/**
+ * The header after a part has released a cancelled job. Once all parts have released it, no task
+ * needs the specification any more, and it is removed.
+ */
 export function withPartReleased(header: JobHeader, part: number): JobHeader {
   const owners = header.owners.replaceAll(partChar(part), RELEASED);
   if (!isFullyReleased({ ...header, owners })) return { ...header, owners };
@@ -61,11 +65,11 @@
   return { ...rest, owners, ...(spec === undefined ? {} : { team: spec.team }) };
 }
 
-/** Whether a job is over and no part has anything of it any more. */
+/** Whether a job is finished and all parts have released it. */
 export const isFullyReleased = ({ status, owners }: JobHeader): boolean =>
   status !== "open" && /^[x-]*$/.test(owners);
 
-/** Tasks in the chunks that are finished. */
+/** Number of tasks in finished chunks. */
 export function finishedTasks({ status, owners, chunkSize, tasks }: JobHeader): number {
   if (status === "done") return tasks;
   let done = 0;
@@ -80,7 +84,7 @@
   return header.started ? "running" : "pending";
 }
 
-/** Whether all tasks have to be in one part: gangs, and rules about all tasks of a job. */
+/** Whether all tasks must be in one part: gangs, and jobs with rules about all of their tasks. */
 export const requiresSinglePart = (spec: JobSpec): boolean =>
   spec.kind === "gang" || spec.oneZone || spec.spread || (spec.match?.atOnce ?? null) !== null;
 
@@ -88,28 +92,34 @@
   return typeof value === "object" && value !== null && "status" in value && "owners" in value;
 }
 
-/** Why a value cannot be a header, or null; `isHeader` only tells it from other records. */
+/** Why a value is not a valid header, or null. The type guard above only checks that it is a header. */
 export function headerError(value: unknown): string | null {
-  if (!isHeader(value)) return "not a header";
+  if (!isHeader(value)) return "not a job header";
   const { status, owners, tasks, chunkSize, spec } = value;
-  if (status !== "open" && status !== "done" && status !== "cancelled") return "an unknown status";
-  if (!Number.isInteger(tasks) || tasks < 1) return `${tasks} tasks`;
-  if (!Number.isInteger(chunkSize) || chunkSize < 1) return `chunks of ${chunkSize} tasks`;
-  if (status === "done") return owners === "" ? null : "done, and yet parts have chunks of it";
-  if (!/^[0-9a-z-]*$/.test(owners)) return `owners that are no parts: ${owners}`;
+  if (status !== "open" && status !== "done" && status !== "cancelled")
+    return "status is not open, done or cancelled";
+  if (!Number.isInteger(tasks) || tasks < 1) return `${tasks} tasks, expected a positive integer`;
+  if (!Number.isInteger(chunkSize) || chunkSize < 1)
+    return `chunk size of ${chunkSize} tasks, expected a positive integer`;
+  if (status === "done") return owners === "" ? null : "job is done, but parts have chunks of it";
+  if (!/^[0-9a-z-]*$/.test(owners))
+    return `owners contain a character that is not 0-9, a-z or -: ${owners}`;
   const chunks = Math.ceil(tasks / chunkSize);
-  if (owners.length !== chunks) return `${owners.length} owners of ${chunks} chunks`;
-  if (status === "open" && spec == null) return "open without its specification";
-  if (status === "open" && owners.includes("-")) return "open, and yet a part has given it up";
+  if (owners.length !== chunks)
+    return `${owners.length} owners of ${chunks} chunks, expected one per chunk`;
+  if (status === "open" && spec == null) return "job is open, but without its specification";
+  if (status === "open" && owners.includes("-"))
+    return "job is open, but a part has released a chunk of it";
   return null;
 }
 
-/** How many tasks one chunk holds: few chunks, each of which fits a value of the store. */
+/** Chooses the number of tasks per chunk: few chunks, each small enough for one stored value. */
 export function chooseChunkSize(tasks: number, parts: number, valueBytes: number): number {
-  // A live task takes up to 32 bytes of its record, which leaves a quarter for the rest.
-  const whole = Math.floor((valueBytes * 0.75) / 32);
-  // Small values: several tasks share a machine's name, and those that do not fit wait (`Ledger.holds`).
-  const shared = Math.min(96, Math.floor((valueBytes - 512) / 16));
-  const most = Math.max(1, whole, shared);
-  return Math.min(most, Math.max(1, Math.ceil(tasks / (2 * parts))));
+  // An allocation takes up to 32 bytes of the record. A quarter is left for the rest.
+  const maxByAllocationBytes = Math.floor((valueBytes * 0.75) / 32);
+  // If values are small: several tasks share a machine name (16 bytes per task, 512 for the rest),
+  // and tasks that do not fit wait to be placed (`Ledger.holds`).
+  const maxWithSharedPages = Math.min(96, Math.floor((valueBytes - 512) / 16));
+  const maxTasks = Math.max(1, maxByAllocationBytes, maxWithSharedPages);
+  return Math.min(maxTasks, Math.max(1, Math.ceil(tasks / (2 * parts))));
 }
--- a/src/jobs/job-outcome.ts
+++ b/src/jobs/job-outcome.ts
@@ -1,19 +1,19 @@
 import { finishedTasks, type JobHeader } from "./job-header.js";
 
-/** What is kept for good of a job that is over. */
+/** What is kept permanently of a finished job. */
 export interface JobOutcome {
   status: "done" | "cancelled";
   tasks: number;
-  /** Of them, how many had completed, as far as whole chunks tell. */
+  /** How many tasks had completed; for a cancelled job, only those in finished chunks count. */
   done: number;
-  /** Time of day of its acceptance, milliseconds; in the archive to the second. */
+  /** Wall clock time of acceptance, milliseconds; the archive stores whole seconds. */
   at: number;
-  /** When it was over; null where a record of 0.1.0 did not say. */
+  /** When it finished; null if the record is of 0.1.0, which did not store it. */
   over: number | null;
   team: string | null;
 }
 
-/** @returns null for a job that is not over */
+/** @returns null for a job that is not finished */
 export function outcomeOf(header: JobHeader): JobOutcome | null {
   const { status, tasks, at, over, team, spec } = header;
   if (status === "open") return null;
--- a/src/pipeline/awaiting.ts
+++ b/src/pipeline/dependent-job-spec.ts
@@ -1,9 +1,10 @@
 import { BY_REQUIREMENTS, type JobSpec } from "../wire/jobs.js";
 
 /**
- * The form in which a job that awaits others is kept. Its machine types are put aside, and the only one
- * named is one that no machine has: a program from before pipelines, which would not wait, starts none
- * of it, whoever owns it and whenever it comes back.
+ * The specification that is stored for a job that awaits others. Its machine types are moved to
+ * `after.types` and replaced by one that no machine has. A version from before pipelines ignores
+ * `after` and would not wait; this way it starts none of the job's tasks, whichever controller
+ * owns the job and whenever that version is run again.
  */
 export function storedSpec(spec: JobSpec): JobSpec {
   const { after } = spec;
@@ -11,7 +12,7 @@
   return { ...spec, types: [BY_REQUIREMENTS], after: { ...after, types: spec.types } };
 }
 
-/** A job's specification as it is placed by; a copy, since priorities flow back to it. */
+/** The specification used for placement; a copy, since its priority may be raised by dependents. */
 export function placedSpec(spec: JobSpec): JobSpec {
   const { after } = spec;
   if (after?.types === undefined) return { ...spec };
--- a/src/pipeline/graph.ts
+++ b/src/pipeline/graph.ts
@@ -1,51 +1,53 @@
-/** What a job that awaits others says of itself; times are milliseconds of the time of day. */
-export interface Stage {
+/** An open job that awaits others; times are wall clock times in milliseconds. */
+export interface DependentJob {
   awaits: readonly string[];
-  /** When it was accepted, or the last that it named was done if that was later and is known. */
+  /** When it was accepted, or when the last job it named was done, if that is known and later. */
   at: number;
   rank: number;
-  /** When it is due by its own deadline; infinity without one. */
+  /** The due time by its own deadline; infinity without one. */
   due: number;
-  /** How long a task of it takes, by its owner's estimate. */
+  /** The user's estimate for the run time of one task. */
   estimateMs: number;
 }
 
 /**
- * `unknown`: nobody has said yet what became of a job that is awaited, or of one before it. What
- * is answered then would be a guess.
+ * Whether a job may start, as far as the jobs that it awaits are concerned. `unknown`: the state of
+ * an awaited job, direct or indirect, has not been looked up yet, so there is no reliable answer.
  */
-export type Fate = "ready" | "waits" | "cancelled" | "unknown";
+export type DependencyState = "ready" | "waits" | "cancelled" | "unknown";
 
 interface Node {
-  stage: Stage | null;
+  dependent: DependentJob | null;
   state: "unknown" | "open" | "done" | "cancelled";
-  /** It, or a job before it, is cancelled. */
-  doomed: boolean;
-  /** What it awaits and is not known to be done. */
-  readonly left: Set<string>;
-  /** Open jobs that await it. */
-  readonly neededBy: Set<string>;
-  /** When the last job that it awaited was done, or when it was accepted if that was later. */
+  /** The job itself or a job that it awaits, direct or indirect, is cancelled. */
+  effectivelyCancelled: boolean;
+  /** Jobs that it awaits and that are not known to be done. */
+  readonly awaited: Set<string>;
+  /** Open jobs that await this one. */
+  readonly dependents: Set<string>;
+  /** When the last job that it awaited was done, or when it was accepted, whichever is later. */
   since: number;
-  /** The highest priority, and the earliest that it has to be done by, of what needs it. */
+  /** Highest priority, and earliest time by which it must be done, required by its dependents. */
   rank: number;
   due: number;
 }
 
 /**
- * Which open jobs wait for which, and what follows from that. "Done" and "cancelled" are final, so
- * all answers only ever move one way: what is ready stays ready, what is cancelled stays cancelled.
- * Remembers jobs that are open and await something, and those that they still await, nothing else.
- * Every change costs what it changes; chains are followed by a list of work, however long they are.
+ * The dependencies between open jobs, and the states and priorities that result. "Done" and
+ * "cancelled" are final, so results never revert: a ready job stays ready, a cancelled one stays
+ * cancelled. Keeps only open jobs that await others, and the jobs that those still await.
+ *
+ * The cost of a change is proportional to the nodes it affects. Chains are followed with an explicit
+ * stack instead of recursion, so their length is not limited by the call stack.
  */
-export class Graph {
+export class DependencyGraph {
   readonly #nodes = new Map<string, Node>();
-  /** Awaited jobs of which nothing is known. */
+  /** Awaited jobs whose state is unknown. */
   readonly unknown = new Set<string>();
-  /** Open jobs that a job before them has cancelled: their headers do not say so yet. */
-  readonly orphans = new Set<string>();
+  /** Jobs cancelled by the cancellation of a job they await, whose own headers are still open. */
+  readonly toCancel = new Set<string>();
 
-  /** Jobs that are open, and await others or are awaited. */
+  /** Ids of all jobs that are kept: those that await others, and those that are awaited. */
   get ids(): Iterable<string> {
     return this.#nodes.keys();
   }
@@ -58,131 +60,131 @@
     return this.#nodes.has(id);
   }
 
-  /** An open job that awaits others; said again it changes nothing. */
-  add(id: string, stage: Stage): void {
-    const node = this.#node(id);
-    this.#opened(id, node);
-    if (node.stage !== null) return;
-    node.stage = stage;
-    node.since = stage.at;
-    let doomed = node.doomed;
-    for (const awaited of stage.awaits) {
-      const before = this.#node(awaited);
-      doomed ||= before.doomed;
-      if (before.state === "done") continue;
-      node.left.add(awaited);
-      before.neededBy.add(id);
+  /** Adds an open job that awaits others. Adding it again has no effect. */
+  add(id: string, job: DependentJob): void {
+    const node = this.#getOrCreate(id);
+    this.#setOpen(id, node);
+    if (node.dependent !== null) return;
+    node.dependent = job;
+    node.since = job.at;
+    let cancelled = node.effectivelyCancelled;
+    for (const awaitedId of job.awaits) {
+      const awaitedNode = this.#getOrCreate(awaitedId);
+      cancelled ||= awaitedNode.effectivelyCancelled;
+      if (awaitedNode.state === "done") continue;
+      node.awaited.add(awaitedId);
+      awaitedNode.dependents.add(id);
     }
-    if (doomed) this.#doom(id);
-    this.#raise([...node.left]);
+    if (cancelled) this.#cancelDependents(id);
+    this.#propagateUrgency([...node.awaited]);
   }
 
-  /** An open job that awaits nothing; kept only if something awaits it. */
-  open(id: string): void {
+  /** Records that a job is open. It is kept only if another job awaits it. */
+  markOpen(id: string): void {
     const node = this.#nodes.get(id);
-    if (node !== undefined) this.#opened(id, node);
+    if (node !== undefined) this.#setOpen(id, node);
   }
 
-  /** A job is over for good, `over` being when; jobs that await it learn of it. */
-  over(id: string, status: "done" | "cancelled", over: number | null): void {
+  /** Records that a job has finished, at `finishedAt` if known, and updates its dependents. */
+  markFinished(id: string, status: "done" | "cancelled", finishedAt: number | null): void {
     const node = this.#nodes.get(id);
     if (node === undefined) return;
     this.unknown.delete(id);
-    this.orphans.delete(id);
+    this.toCancel.delete(id);
     node.state = status;
-    if (status === "cancelled") this.#doom(id);
-    const awaited = [...node.left];
-    for (const other of awaited) this.#nodes.get(other)?.neededBy.delete(id);
-    node.left.clear();
+    if (status === "cancelled") this.#cancelDependents(id);
+    const awaitedIds = [...node.awaited];
+    for (const other of awaitedIds) this.#nodes.get(other)?.dependents.delete(id);
+    node.awaited.clear();
     if (status === "done") {
-      for (const needing of node.neededBy) {
-        const next = this.#nodes.get(needing)!;
-        next.left.delete(id);
-        if (over !== null) next.since = Math.max(next.since, over);
+      for (const dependentId of node.dependents) {
+        const dependent = this.#nodes.get(dependentId)!;
+        dependent.awaited.delete(id);
+        if (finishedAt !== null) dependent.since = Math.max(dependent.since, finishedAt);
       }
-      node.neededBy.clear();
+      node.dependents.clear();
     }
-    this.#raise(awaited);
-    this.#drop(id);
-    for (const other of awaited) this.#drop(other);
+    this.#propagateUrgency(awaitedIds);
+    this.#removeIfUnneeded(id);
+    for (const other of awaitedIds) this.#removeIfUnneeded(other);
   }
 
-  /** Its header is gone, and nobody has said how it ended. */
-  lost(id: string): void {
+  /** Records that a job's header was deleted while the job was open here: its result is unknown. */
+  markUnknown(id: string): void {
     const node = this.#nodes.get(id);
     if (node === undefined || node.state !== "open") return;
-    // One that awaits others and was open has been swept and archived, or is done: it is asked for.
+    // If it awaited others, it was cancelled and archived, or is done. A lookup tells which.
     node.state = "unknown";
     this.unknown.add(id);
   }
 
-  fate(id: string): Fate {
+  stateOf(id: string): DependencyState {
     const node = this.#nodes.get(id);
     if (node === undefined) return "ready";
-    if (node.doomed) return "cancelled";
-    if (node.left.size === 0) return "ready";
+    if (node.effectivelyCancelled) return "cancelled";
+    if (node.awaited.size === 0) return "ready";
     if (this.unknown.size === 0) return "waits";
     const seen = new Set<string>([id]);
-    const work = [id];
-    for (let next = work.pop(); next !== undefined; next = work.pop()) {
+    const stack = [id];
+    for (let next = stack.pop(); next !== undefined; next = stack.pop()) {
       if (this.unknown.has(next)) return "unknown";
-      for (const before of this.#nodes.get(next)?.left ?? []) {
-        if (!seen.has(before)) work.push(before);
-        seen.add(before);
+      for (const awaitedId of this.#nodes.get(next)?.awaited ?? []) {
+        if (!seen.has(awaitedId)) stack.push(awaitedId);
+        seen.add(awaitedId);
       }
     }
     return "waits";
   }
 
-  /** What it still waits for, itself not cancelled. */
-  waitsFor(id: string): readonly string[] {
-    return [...(this.#nodes.get(id)?.left ?? [])];
+  /** The jobs that an open job still waits for. */
+  pendingDependencies(id: string): readonly string[] {
+    return [...(this.#nodes.get(id)?.awaited ?? [])];
   }
 
-  /** The longest way to the end of a job through those that it still awaits, by their estimates. */
+  /** Estimated time until a job is done: the longest path through the jobs that it still awaits. */
   expectedMs(id: string, estimateOf: (id: string) => number): number {
-    const known = new Map<string, number>();
-    const work = [id];
-    for (let next = work.at(-1); next !== undefined; next = work.at(-1)) {
-      const before = [...(this.#nodes.get(next)?.left ?? [])];
-      const ahead = before.filter((other) => !known.has(other));
-      // Marked before what comes first is done: a circle, which cannot be, would end here.
-      if (ahead.length > 0 && !known.has(next)) {
-        known.set(next, 0);
-        work.push(...ahead);
+    const durations = new Map<string, number>();
+    const stack = [id];
+    for (let next = stack.at(-1); next !== undefined; next = stack.at(-1)) {
+      const awaitedIds = [...(this.#nodes.get(next)?.awaited ?? [])];
+      const unresolved = awaitedIds.filter((other) => !durations.has(other));
+      // Set before the awaited jobs are visited, so that a cycle, which cannot occur, would end here.
+      if (unresolved.length > 0 && !durations.has(next)) {
+        durations.set(next, 0);
+        stack.push(...unresolved);
         continue;
       }
-      work.pop();
-      const first = Math.max(0, ...before.map((other) => known.get(other) ?? 0));
-      known.set(next, first + estimateOf(next));
+      stack.pop();
+      const awaitedMs = Math.max(0, ...awaitedIds.map((other) => durations.get(other) ?? 0));
+      durations.set(next, awaitedMs + estimateOf(next));
     }
-    return known.get(id) ?? 0;
+    return durations.get(id) ?? 0;
   }
 
-  /** From when its times count, but for its own deadline. */
+  /** When its class targets start to count; its own deadline counts from acceptance. */
   since(id: string, at: number): number {
     return this.#nodes.get(id)?.since ?? at;
   }
 
-  /** Its priority, or that of a job that needs it if that is higher. */
+  /** The highest of its own priority and those of its dependents. */
   rank(id: string, own: number): number {
     return Math.max(own, this.#nodes.get(id)?.rank ?? 0);
   }
 
-  /** When it is due, so that what needs it can be in time as well. */
+  /** Its due time, or an earlier one that its dependents need to meet theirs. */
   due(id: string, own: number): number {
     return Math.min(own, this.#nodes.get(id)?.due ?? Number.POSITIVE_INFINITY);
   }
 
-  #node(id: string): Node {
+  #getOrCreate(id: string): Node {
     let node = this.#nodes.get(id);
     if (node === undefined) {
       node = {
-        stage: null,
+        dependent: null,
         state: "unknown",
-        doomed: false,
-        left: new Set(),
-        neededBy: new Set(),
+        effectivelyCancelled: false,
+        awaited: new Set(),
+        dependents: new Set(),
         since: Number.NEGATIVE_INFINITY,
         rank: 0,
         due: Number.POSITIVE_INFINITY,
@@ -193,52 +195,57 @@
     return node;
   }
 
-  #opened(id: string, node: Node): void {
+  #setOpen(id: string, node: Node): void {
     if (node.state !== "unknown") return;
     node.state = "open";
     this.unknown.delete(id);
   }
 
-  #doom(id: string): void {
-    const work = [id];
-    for (let next = work.pop(); next !== undefined; next = work.pop()) {
+  #cancelDependents(id: string): void {
+    const stack = [id];
+    for (let next = stack.pop(); next !== undefined; next = stack.pop()) {
       const node = this.#nodes.get(next);
-      if (node === undefined || (node.doomed && next !== id)) continue;
-      node.doomed = true;
-      if (node.stage !== null && node.state === "open") this.orphans.add(next);
-      work.push(...node.neededBy);
+      if (node === undefined || (node.effectivelyCancelled && next !== id)) continue;
+      node.effectivelyCancelled = true;
+      if (node.dependent !== null && node.state === "open") this.toCancel.add(next);
+      stack.push(...node.dependents);
     }
   }
 
-  /** Priorities and due times flow back to what is awaited, as far as they change there. */
-  #raise(ids: readonly string[]): void {
-    const work = [...ids];
-    for (let id = work.pop(); id !== undefined; id = work.pop()) {
+  /** Propagates priorities and due times to awaited jobs, until nothing changes. */
+  #propagateUrgency(ids: readonly string[]): void {
+    const stack = [...ids];
+    for (let id = stack.pop(); id !== undefined; id = stack.pop()) {
       const node = this.#nodes.get(id);
       if (node === undefined) continue;
       let rank = 0;
       let due = Number.POSITIVE_INFINITY;
-      for (const needing of node.neededBy) {
-        const { stage, doomed, rank: flows, due: flowsDue } = this.#nodes.get(needing)!;
-        if (stage === null || doomed) continue;
-        rank = Math.max(rank, stage.rank, flows);
-        due = Math.min(due, Math.min(stage.due, flowsDue) - stage.estimateMs);
+      for (const dependentId of node.dependents) {
+        const {
+          dependent,
+          effectivelyCancelled: cancelled,
+          rank: inheritedRank,
+          due: inheritedDue,
+        } = this.#nodes.get(dependentId)!;
+        if (dependent === null || cancelled) continue;
+        rank = Math.max(rank, dependent.rank, inheritedRank);
+        due = Math.min(due, Math.min(dependent.due, inheritedDue) - dependent.estimateMs);
       }
       if (rank === node.rank && due === node.due) continue;
       node.rank = rank;
       node.due = due;
-      work.push(...node.left);
+      stack.push(...node.awaited);
     }
   }
 
-  /** Forgets what is over, or awaits nothing, once nobody awaits it. */
-  #drop(id: string): void {
+  /** Removes a job that has finished or awaits nothing, unless another job awaits it. */
+  #removeIfUnneeded(id: string): void {
     const node = this.#nodes.get(id);
-    if (node === undefined || node.neededBy.size > 0) return;
-    const over = node.state === "done" || node.state === "cancelled";
-    if (!over && node.stage !== null) return;
+    if (node === undefined || node.dependents.size > 0) return;
+    const finished = node.state === "done" || node.state === "cancelled";
+    if (!finished && node.dependent !== null) return;
     this.#nodes.delete(id);
     this.unknown.delete(id);
-    this.orphans.delete(id);
+    this.toCancel.delete(id);
   }
 }
--- a/src/pipeline/index.ts
+++ b/src/pipeline/index.ts
@@ -4,22 +4,22 @@
 import { JOB_HEADER_PREFIX, keys } from "../state/keys.js";
 import type { Mirror } from "../state/mirror.js";
 import type { Change, Condition, Store } from "../state/store.js";
-import { type Fate, Graph } from "./graph.js";
+import { DependencyGraph, type DependencyState } from "./graph.js";
 
-export { placedSpec, storedSpec } from "./awaiting.js";
-export { type Fate, Graph, type Stage } from "./graph.js";
+export { placedSpec, storedSpec } from "./dependent-job-spec.js";
+export { DependencyGraph, type DependencyState, type DependentJob } from "./graph.js";
 
-/** What became of a job, wherever it is kept; null: there is no such job. */
+/** The state of a job, from wherever its record is kept; null if there is no such job. */
 export type Ended = { status: "open" | "done" | "cancelled"; over: number | null } | null;
 
-/** How many lookups, and how many headers of a sweep, are under way at a time. */
-const AT_ONCE = 8;
+/** The most jobs looked up, and the most headers cancelled, in one round. */
+const MAX_JOBS_PER_ROUND = 8;
 
-/** Follows which jobs wait for which, from the watched headers. Everybody else asks it. */
+/** Tracks the dependencies between jobs from the watched headers. */
 export class Pipelines {
-  readonly #graph = new Graph();
-  readonly #missing = new Set<string>();
-  #looking = false;
+  readonly #graph = new DependencyGraph();
+  readonly #reportedMissing = new Set<string>();
+  #lookupRunning = false;
   #stopped = false;
 
   constructor(
@@ -28,14 +28,14 @@
     readonly clock: Clock,
     readonly log: Log,
     readonly reportMs: number,
-    /** Asks for a job that is not among the watched headers. */
+    /** Looks up a job that is not among the watched headers. */
     readonly lookUp: (id: string) => Promise<Ended>,
   ) {
     mirror.on(JOB_HEADER_PREFIX, ({ key, value, deleted }) => {
       const id = key.slice(JOB_HEADER_PREFIX.length);
-      if (deleted) this.#graph.lost(id);
-      else if (isHeader(value)) this.#take(id, value);
-      if (this.#graph.unknown.size > 0) this.#learn();
+      if (deleted) this.#graph.markUnknown(id);
+      else if (isHeader(value)) this.#applyHeader(id, value);
+      if (this.#graph.unknown.size > 0) this.#startLookups();
     });
   }
 
@@ -43,22 +43,22 @@
     this.#stopped = true;
   }
 
-  /** Whether a job, of which this has a header, may start, waits, or is cancelled by one before it. */
-  fate(id: string): Fate {
-    return this.#graph.fate(id);
+  /** Whether a job with a watched header may start, waits, or is cancelled by one that it awaits. */
+  fate(id: string): DependencyState {
+    return this.#graph.stateOf(id);
   }
 
-  /** Nothing of it can start for the time being. */
+  /** Whether none of its tasks may start for now. */
   waits(id: string): boolean {
-    return this.#graph.size > 0 && this.#graph.fate(id) !== "ready";
+    return this.#graph.size > 0 && this.#graph.stateOf(id) !== "ready";
   }
 
   /** The jobs that it still waits for. */
   waitsFor(id: string): readonly string[] {
-    return this.#graph.waitsFor(id);
+    return this.#graph.pendingDependencies(id);
   }
 
-  /** How long it takes until a job is done, by the estimates on the longest way to it, milliseconds. */
+  /** Estimated time until a job is done, by the longest path of awaited jobs, in milliseconds. */
   expectedMs(id: string): number {
     return this.#graph.expectedMs(id, (other) => {
       const row = this.mirror.rows.get(keys.job(other));
@@ -67,7 +67,7 @@
     });
   }
 
-  /** From when the times of its class count: acceptance, or the end of the last job that it awaited. */
+  /** When its class targets start to count: at acceptance, or when the last awaited job was done. */
   since(id: string, at: number): number {
     return this.#graph.since(id, at);
   }
@@ -80,19 +80,19 @@
     return this.#graph.due(id, own);
   }
 
-  /** Jobs whose priority or due time may depend on others. */
+  /** Ids of jobs whose priority or due time may depend on others. */
   get ids(): Iterable<string> {
     return this.#graph.ids;
   }
 
-  #take(id: string, { status, spec, at, over }: JobHeader): void {
+  #applyHeader(id: string, { status, spec, at, over }: JobHeader): void {
     const graph = this.#graph;
     if (status !== "open") {
-      graph.over(id, status, over ?? null);
+      graph.markFinished(id, status, over ?? null);
       return;
     }
     if (spec?.after === undefined) {
-      graph.open(id);
+      graph.markOpen(id);
       return;
     }
     const { jobs: awaits, since = at } = spec.after;
@@ -100,65 +100,72 @@
     const { rank, estimateS } = spec;
     const from = Math.max(at, since);
     graph.add(id, { awaits, at: from, rank, due, estimateMs: estimateS * 1000 });
-    for (const awaited of graph.waitsFor(id)) {
+    for (const awaited of graph.pendingDependencies(id)) {
       if (!graph.unknown.has(awaited)) continue;
       const row = this.mirror.rows.get(keys.job(awaited));
-      if (row !== undefined && isHeader(row.value)) this.#take(awaited, row.value);
+      if (row !== undefined && isHeader(row.value)) this.#applyHeader(awaited, row.value);
     }
   }
 
-  /** Finds out about awaited jobs that are not among the watched headers: archived ones mostly. */
-  #learn(): void {
-    if (this.#looking) return;
-    this.#looking = true;
+  /** Looks up awaited jobs that are not among the watched headers, mostly archived ones. */
+  #startLookups(): void {
+    if (this.#lookupRunning) return;
+    this.#lookupRunning = true;
     const pauseMs = this.reportMs / 4;
     const step = async (): Promise<void> => {
       if (this.#stopped || this.#graph.unknown.size === 0) {
-        this.#looking = false;
+        this.#lookupRunning = false;
         return;
       }
-      // While keys are being read the rest may still come.
+      // While the mirror is still loading, their headers may still arrive.
       if (this.mirror.ready) {
-        for (const id of [...this.#graph.unknown].slice(0, AT_ONCE)) await this.#ask(id);
+        for (const id of [...this.#graph.unknown].slice(0, MAX_JOBS_PER_ROUND))
+          await this.#lookUpJob(id);
       }
       this.clock.after(pauseMs, () => void step());
     };
     this.clock.after(pauseMs, () => void step());
   }
 
-  async #ask(id: string): Promise<void> {
+  async #lookUpJob(id: string): Promise<void> {
     const row = this.mirror.rows.get(keys.job(id));
-    if (row !== undefined && isHeader(row.value)) return this.#take(id, row.value);
+    if (row !== undefined && isHeader(row.value)) return this.#applyHeader(id, row.value);
     try {
       const found = await this.lookUp(id);
       if (found === null) {
-        if (!this.#missing.has(id))
-          this.log.error({ job: id }, "a job is awaited that is not there");
-        this.#missing.add(id);
-        this.#again(id);
-      } else if (found.status === "open") this.#graph.open(id);
-      else this.#graph.over(id, found.status, found.over);
+        if (!this.#reportedMissing.has(id))
+          this.log.error(
+            { job: id },
+            "awaited job does not exist; jobs that await it cannot start",
+          );
+        this.#reportedMissing.add(id);
+        this.#moveToEnd(id);
+      } else if (found.status === "open") this.#graph.markOpen(id);
+      else this.#graph.markFinished(id, found.status, found.over);
     } catch (error) {
-      this.log.debug({ job: id, why: String(error) }, "awaited job not looked up yet");
-      this.#again(id);
+      this.log.debug(
+        { job: id, why: String(error) },
+        "awaited job could not be looked up; will retry",
+      );
+      this.#moveToEnd(id);
     }
   }
 
-  /** After the others: what cannot be said keeps nobody else waiting. */
-  #again(id: string): void {
+  /** Moves a job to the end of the queue, so that a failed lookup does not delay others. */
+  #moveToEnd(id: string): void {
     if (this.#graph.unknown.delete(id)) this.#graph.unknown.add(id);
   }
 
   /**
-   * What the leader does: writes into the headers of jobs that a job before them has cancelled that
-   * they are. Answers do not wait for it, and nothing of such jobs has ever started; whoever does it
-   * second, or late, finds the header changed.
+   * The leader's task: cancels the headers of jobs that await a cancelled job. Answers to users do
+   * not wait for this, and no task of such a job has ever started. The writes are conditional on
+   * the headers' versions, so a late or second leader changes nothing.
    */
   lead({ valid }: { valid(): boolean }): { stop(): void } {
     let stopped = false;
     const step = async (): Promise<void> => {
       if (stopped || this.#stopped) return;
-      if (valid() && this.#graph.orphans.size > 0) await this.#sweep();
+      if (valid() && this.#graph.toCancel.size > 0) await this.#writeCancellations();
       this.clock.after(this.reportMs / 4, () => void step());
     };
     this.clock.after(this.reportMs / 4, () => void step());
@@ -169,18 +176,18 @@
     };
   }
 
-  async #sweep(): Promise<void> {
+  async #writeCancellations(): Promise<void> {
     const { writes, limits } = this.store;
     const when: Condition[] = [];
     const changes: (Change & { put: string; value: JobHeader })[] = [];
     let bytes = 0;
-    for (const id of this.#graph.orphans) {
+    for (const id of this.#graph.toCancel) {
       const key = keys.job(id);
       const row = this.mirror.rows.get(key);
       if (row === undefined || !isHeader(row.value) || row.value.status !== "open") continue;
       const value = cancelledHeader(row.value, this.clock.wall());
       bytes += 512 + Buffer.byteLength(JSON.stringify(value));
-      if (changes.length >= Math.min(AT_ONCE, limits.ops)) break;
+      if (changes.length >= Math.min(MAX_JOBS_PER_ROUND, limits.ops)) break;
       if (changes.length > 0 && bytes > limits.txnBytes) break;
       when.push({ key, version: row.version });
       changes.push({ put: key, value });
@@ -193,7 +200,10 @@
         this.mirror.apply({ key, value, version: revision, deleted: false });
       }
     } catch (error) {
-      this.log.debug({ why: String(error) }, "cancelled pipelines wait");
+      this.log.debug(
+        { why: String(error) },
+        "headers of jobs that await a cancelled job not written; will retry",
+      );
     }
   }
 }
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -3,13 +3,14 @@
 import type { JobSpec } from "../wire/jobs.js";
 import type { ReportPosition } from "./report-classification.js";
 
+/** Amounts of a machine or a task. */
 export interface Resources {
   cpus: number;
   gpus: number;
   memGb: number;
 }
 
-/** What the part's owner knows of one machine, under its own token. */
+/** What the part's owner knows of one machine since it claimed the part. */
 export class Machine {
   type = "";
   zone = "";
@@ -18,35 +19,35 @@
   address = "";
   session = 0;
   seq = -1;
-  /** The newest report that was taken for anything, also before it followed us; null: none. */
+  /** The newest report that was used for anything, also one without our token; null for none. */
   latest: ReportPosition | null = null;
   /**
-   * Since when answers may not reach it: its reports come, but show that none was taken for long.
-   * No room, until it has taken one; null: it hears.
+   * Since when our answers may not reach it: its reports arrive, but show that it has received no
+   * answer for long. Nothing is placed on it until it receives one. Null if answers arrive.
    */
   unreachableSince: number | null = null;
   /**
-   * Whether its worker has reported with our token. Before that, an answer of an earlier owner
-   * may still reach it, so its list proves nothing.
+   * Whether its worker has reported with our fencing token. Before that, an answer of an earlier
+   * owner may still reach it, so the tasks it reports prove nothing.
    */
   hasOurToken = false;
   lastSeen: number;
   noticeS: number | null = null;
   idleSince: number;
-  /** Not to be used any more; the leader is asked to return it. */
+  /** Why it is retired; null if it is not. The leader is asked to return it to the cloud. */
   retired: string | null = null;
   /** Jobs that failed here since the last success. */
   readonly failedJobs = new Set<string>();
   readonly allocations = new Map<string, Allocation>();
-  /** Tasks that it lists and that are not ours to count: they take room until they are gone. */
+  /** Unknown tasks that it reports: they use its resources until they are gone. */
   unknownTasks: JobSpec[] = [];
   readonly images = new Set<string>();
   /**
-   * Room that is being cleared for a job. Without this, smaller tasks took what was freed before
-   * there was enough of it, and the same tasks were stopped for the same job again and again.
+   * Resources being freed for a job, by job. Without reservations, smaller tasks took the freed
+   * resources before there were enough, and the same tasks were stopped repeatedly for one job.
    */
   readonly reserved = new Map<string, { tasks: number; spec: JobSpec; until: number }>();
-  #room: Resources | null = null;
+  #freeResources: Resources | null = null;
 
   constructor(
     readonly id: string,
@@ -57,63 +58,67 @@
   }
 
   invalidateFreeResources(): void {
-    this.#room = null;
+    this.#freeResources = null;
   }
 
-  /** `freeResources`, for searches over all machines: the type is looked up only when something has changed. */
+  /** As `freeResources`, for searches over all machines: the type is looked up only if needed. */
   freeResourcesIn(types: ReadonlyMap<string, MachineType>): Resources {
-    return this.#room ?? this.freeResources(types.get(this.type));
+    return this.#freeResources ?? this.freeResources(types.get(this.type));
   }
 
+  /** What is free on the machine; cached until `invalidateFreeResources`. Zero for an unknown type. */
   freeResources(type: MachineType | undefined): Resources {
     if (type === undefined) return { cpus: 0, gpus: 0, memGb: 0 };
-    if (this.#room !== null) return this.#room;
-    const room: Resources = { cpus: type.cpus, gpus: type.gpus, memGb: type.memGb };
-    for (const live of this.allocations.values()) addResources(room, live.chunk.spec, -1);
-    for (const spec of this.unknownTasks) addResources(room, spec, -1);
-    this.#room = room;
-    return room;
+    if (this.#freeResources !== null) return this.#freeResources;
+    const free: Resources = { cpus: type.cpus, gpus: type.gpus, memGb: type.memGb };
+    for (const allocation of this.allocations.values())
+      addResources(free, allocation.chunk.spec, -1);
+    for (const spec of this.unknownTasks) addResources(free, spec, -1);
+    this.#freeResources = free;
+    return free;
   }
 }
 
-export function addResources(room: Resources, spec: JobSpec, times: number): void {
-  room.cpus += times * spec.cpus;
-  room.gpus += times * spec.gpus;
-  room.memGb += times * spec.memGb;
+/** Adds the resources of `times` tasks of a job; negative `times` subtracts. */
+export function addResources(resources: Resources, spec: JobSpec, times: number): void {
+  resources.cpus += times * spec.cpus;
+  resources.gpus += times * spec.gpus;
+  resources.memGb += times * spec.memGb;
 }
 
-/** `room` less what is reserved for other jobs than `job`. */
+/** `free` without what is reserved for jobs other than `job`. */
 export function withoutReservations(
-  room: Resources,
+  free: Resources,
   machine: Machine,
   job: string | null,
 ): Resources {
-  if (machine.reserved.size === 0) return room;
-  const left = { ...room };
+  if (machine.reserved.size === 0) return free;
+  const unreserved = { ...free };
   for (const [id, { tasks, spec }] of machine.reserved)
-    if (id !== job) addResources(left, spec, -tasks);
-  return left;
+    if (id !== job) addResources(unreserved, spec, -tasks);
+  return unreserved;
 }
 
-export const fitsResources = (room: Resources, size: Resources): boolean =>
-  size.cpus <= room.cpus + 1e-6 && size.gpus <= room.gpus + 1e-6 && size.memGb <= room.memGb + 1e-6;
+export const fitsResources = (free: Resources, size: Resources): boolean =>
+  size.cpus <= free.cpus + 1e-6 && size.gpus <= free.gpus + 1e-6 && size.memGb <= free.memGb + 1e-6;
 
-/** Machines that do not differ in these do not differ for a job, but for their room. */
+/** Machines that are equal in these differ for a job only in their free resources. */
 export interface MachineKind {
   type: string;
   zone: string;
   spot: boolean;
-  /** What a package has found out about its kind, kept where it is asked for most. */
+  /** What the matcher keeps for this kind, stored here for fast access. */
   matcherCache?: object | null;
 }
 
-/** Whether a machine of this kind may run the job, as far as the job names types, zone and kind. */
+/** Whether the machine's type, zone and spot flag are allowed by the job. */
 export const kindAllowed = (spec: JobSpec, machine: MachineKind): boolean =>
-  // With expressions, it is these that say which types will do.
+  // A job with expressions selects machine types by its expressions.
   (spec.match !== undefined || spec.types === null || spec.types.includes(machine.type)) &&
   (spec.zone === null || spec.zone === machine.zone) &&
   (spec.spot || !machine.spot);
 
+/** Whether a machine of this type could run a task of the job, if it were empty. */
 export const typeFits = (spec: JobSpec, type: MachineType): boolean =>
   (spec.match !== undefined || spec.types === null || spec.types.includes(type.name)) &&
   (spec.zone === null || type.zones.length === 0 || type.zones.includes(spec.zone)) &&
@@ -122,10 +127,10 @@
   spec.memGb <= type.memGb;
 
 /**
- * Whether placing one more task of a job in `zone` keeps the job's zone rules, given the zones of
- * its other tasks that are placed and not proved gone; `""` for those on machines that have not said
- * theirs since the part was taken over. These may be in any zone, so they count in each: a new owner
- * put a third task of three beside two that it took for being nowhere.
+ * Whether placing one more task of a job in `zone` keeps the job's zone rules. `perZone` counts the
+ * job's other allocations by zone; `""` is for machines that have not reported their zone since the
+ * part was taken over. Those may be in any zone, so they count in each: otherwise a new owner placed
+ * the third of three tasks in the zone of the other two, which it counted in no zone.
  */
 export function zoneAllowed(
   spec: JobSpec,
@@ -136,8 +141,8 @@
     for (const [other, count] of perZone) if (other !== zone && count > 0) return false;
   }
   if (spec.spread) {
-    const here = (perZone.get(zone) ?? 0) + (perZone.get("") ?? 0);
-    return here + 1 <= Math.ceil(spec.tasks / 2);
+    const inZone = (perZone.get(zone) ?? 0) + (perZone.get("") ?? 0);
+    return inZone + 1 <= Math.ceil(spec.tasks / 2);
   }
   return true;
 }
--- a/src/workers/placement-constraints.ts
+++ b/src/workers/placement-constraints.ts
@@ -3,48 +3,47 @@
 import { kindAllowed, type MachineKind, type Resources } from "./machine.js";
 
 /**
- * Where tasks may start: the one question that is asked when a task is placed, when room is made
- * for it, when a chunk is handed on, and for what is rented. Without the package that reads them,
- * jobs with expressions may start nowhere.
+ * Decides on which machines a job's tasks may start. Placement, preemption, rebalancing and machine
+ * rental all use it. Without a matcher, jobs with expressions may start nowhere.
  */
 export class PlacementConstraints {
   constructor(
     readonly matcher: JobMatcher | null,
-    /** Whether a job waits for others to be done. */
-    readonly waits: (id: string) => boolean = () => false,
+    /** Whether a job waits for other jobs to be done. */
+    readonly waitsForJobs: (id: string) => boolean = () => false,
   ) {}
 
-  /** `room` is what is free there; null for a machine with nothing on it. */
-  allows(spec: JobSpec, on: MachineKind, room: Resources | null = null): boolean {
-    if (!kindAllowed(spec, on)) return false;
-    return spec.match === undefined || this.rank(spec, on, room) !== null;
+  /** Whether a job may start on a machine with these free resources; null for an empty machine. */
+  allows(spec: JobSpec, machine: MachineKind, free: Resources | null = null): boolean {
+    if (!kindAllowed(spec, machine)) return false;
+    return spec.match === undefined || this.rank(spec, machine, free) !== null;
   }
 
   /**
-   * How much a job with expressions prefers a machine of a type, zone and kind that it may use: more
-   * is better. Null: it may not start there.
+   * The rank that a job with expressions gives to a machine whose type, zone and spot flag it
+   * allows: higher is better. Null if it may not start there.
    */
-  rank(spec: JobSpec, on: MachineKind, room: Resources | null): number | null {
-    return this.matcher === null ? null : this.matcher.rank(spec, on, room);
+  rank(spec: JobSpec, machine: MachineKind, free: Resources | null): number | null {
+    return this.matcher === null ? null : this.matcher.rank(spec, machine, free);
   }
 
-  /** `rank` of one job, for whoever goes through all machines. */
-  rankerFor(spec: JobSpec): (on: MachineKind, room: Resources | null) => number | null {
+  /** `rank` for one job, for loops over all machines. */
+  rankerFor(spec: JobSpec): (machine: MachineKind, free: Resources | null) => number | null {
     return this.matcher === null ? () => null : this.matcher.rankerFor(spec);
   }
 
   /**
-   * Whether a job cannot start anywhere for the time being, whatever room there is: it waits for other
-   * jobs, it is held, or no machine would match. It then wants no room, no quota and no machines.
+   * Whether a job cannot start anywhere for now, whatever is free: it waits for other jobs, it is
+   * held, or no machine would match. Such a job needs no resources, no quota and no machines.
    */
   cannotStart(id: string, spec: JobSpec): boolean {
-    if (spec.after !== undefined && this.waits(id)) return true;
+    if (spec.after !== undefined && this.waitsForJobs(id)) return true;
     return spec.match !== undefined && this.matcher?.cannotStart(id, spec) !== false;
   }
 
   /**
-   * The same text for jobs that all machines answer alike, as far as expressions go; null when the
-   * answer changes with a machine's room or with time.
+   * Equal for jobs whose expressions match all machines alike; null if the result depends on a
+   * machine's free resources or on time.
    */
   equivalenceKey(spec: JobSpec): string | null {
     if (spec.match === undefined) return "";
--- a/test/image.test.ts
+++ b/test/image.test.ts
@@ -90,10 +90,10 @@
  * removes it. Then the key that has to be named, and what has to be said of it.
  */
 const BROKEN = `
-w/j/wk-open = 7                                              | w/j/wk-open | not a header
+w/j/wk-open = 7                                              | w/j/wk-open | not a job header
 w/j/nonsense = {"status":"done","owners":""}                 | w/j/nonsense | not a job's id
 w/j/wk-open + {"owners":"01"}                                | w/j/wk-open | 2 owners of 3
-w/j/wk-open + {"owners":"0-x"}                               | w/j/wk-open | given it up
+w/j/wk-open + {"owners":"0-x"}                               | w/j/wk-open | released a chunk
 w/j/wk-open + {"spec":null}                                  | w/j/wk-open | without its spec
 w/j/wk-open + {"tasks":0}                                    | w/j/wk-open | 0 tasks
 w/j/wk-done + {"owners":"0"}                                 | w/j/wk-done | parts have chunks
--- a/test/share.test.ts
+++ b/test/share.test.ts
@@ -16,12 +16,27 @@
 
 const cpus = (n: number) => ({ cpus: n, gpus: 0 });
 
-// Worked out by hand: use above guarantee over the sum of all guarantees, divided by the weight.
+// Expected values calculated by hand: use above the guarantee, divided by the sum of all guarantees
+// and by the weight.
 const shareCases = [
   { name: "nothing used", use: 0, guarantee: 10, others: 30, weight: 1, share: 0 },
   { name: "all of the guarantee", use: 10, guarantee: 10, others: 30, weight: 1, share: 0 },
-  { name: "ten above of forty", use: 20, guarantee: 10, others: 30, weight: 1, share: 0.25 },
-  { name: "weight two halves it", use: 20, guarantee: 10, others: 30, weight: 2, share: 0.125 },
+  {
+    name: "ten CPUs above the guarantee, of forty in all",
+    use: 20,
+    guarantee: 10,
+    others: 30,
+    weight: 1,
+    share: 0.25,
+  },
+  {
+    name: "a weight of two halves the share",
+    use: 20,
+    guarantee: 10,
+    others: 30,
+    weight: 2,
+    share: 0.125,
+  },
   { name: "no guarantee at all", use: 8, guarantee: 0, others: 40, weight: 1, share: 0.2 },
 ];
 for (const c of shareCases) {
@@ -46,7 +61,7 @@
 });
 
 test("share: groups are compared from the root down", () => {
-  // Story 2 of KEP-1714: departments first, then their teams.
+  // Story 2 of KEP-1714: departments are compared first, then their teams.
   const tree = new ShareTree([
     { name: ROOT, parent: null, weight: 1, nominal: cpus(40) },
     { name: "d1", parent: ROOT, weight: 1, nominal: cpus(20) },
@@ -57,7 +72,7 @@
   ]);
   tree.charge("1b", cpus(14));
   tree.charge("2a", cpus(24));
-  // 1b borrows from 1a inside its department, which as a whole borrows nothing.
+  // 1b borrows from 1a inside its department; the department as a whole borrows nothing.
   assert.deepEqual(tree.shares("1b"), [0, 0.2]);
   assert.deepEqual(tree.shares("2a"), [0.1, 0.2]);
   assert.ok(compareShares(tree.shares("1b"), tree.shares("2a")) < 0);
@@ -78,9 +93,9 @@
   loss,
 });
 
-const stopCases = [
+const reasonCases = [
   {
-    name: "S1: under guarantee, from a borrower",
+    name: "S1: a team below its guarantee, from a borrower",
     x: 10,
     y: 30,
     z: 0,
@@ -88,11 +103,27 @@
     v: 2,
     want: "reclaim",
   },
-  { name: "not from one within its guarantee", x: 10, y: 20, z: 0, size: 4, v: 2, want: null },
-  { name: "S2-a: the borrower stays above", x: 20, y: 30, z: 0, size: 2, v: 2, want: "fair" },
-  { name: "S2-a: equal afterwards is enough", x: 20, y: 24, z: 0, size: 2, v: 2, want: "fair" },
+  { name: "not from a team within its guarantee", x: 10, y: 20, z: 0, size: 4, v: 2, want: null },
+  {
+    name: "S2-a: the borrower's share stays above",
+    x: 20,
+    y: 30,
+    z: 0,
+    size: 2,
+    v: 2,
+    want: "fair",
+  },
+  {
+    name: "S2-a: equal shares afterwards are enough",
+    x: 20,
+    y: 24,
+    z: 0,
+    size: 2,
+    v: 2,
+    want: "fair",
+  },
   {
-    name: "S2-b: one huge task strictly above",
+    name: "S2-b: one huge task of a team with a strictly larger share",
     x: 20,
     y: 30,
     z: 0,
@@ -100,15 +131,23 @@
     v: 10,
     want: "greedy",
   },
-  { name: "not when the asker would be above", x: 28, y: 30, z: 0, size: 4, v: 2, want: null },
+  {
+    name: "not when the preemptor's share would be above",
+    x: 28,
+    y: 30,
+    z: 0,
+    size: 4,
+    v: 2,
+    want: null,
+  },
 ];
-for (const c of stopCases) {
+for (const c of reasonCases) {
   test(`preemption: ${c.name}`, () => {
     const tree = flatTree(teams);
     tree.charge("x", cpus(c.x));
     tree.charge("y", cpus(c.y));
     tree.charge("z", cpus(c.z));
-    const asker = {
+    const preemptor = {
       team: "x",
       rank: 1,
       size: cpus(c.size),
@@ -116,13 +155,13 @@
       maxLoss: 4,
       maxFairLoss: 1,
     };
-    assert.equal(preemptionReason(tree, asker, victim("v", "y", c.v)), c.want);
+    assert.equal(preemptionReason(tree, preemptor, victim("v", "y", c.v)), c.want);
   });
 }
 
-test("preemption: inside a team only lower priority is stopped", () => {
+test("preemption: inside a team only tasks of lower priority are stopped", () => {
   const tree = flatTree(teams);
-  const asker = {
+  const preemptor = {
     team: "x",
     rank: 1,
     size: cpus(1),
@@ -130,15 +169,15 @@
     maxLoss: 0,
     maxFairLoss: 0,
   };
-  assert.equal(preemptionReason(tree, asker, victim("v", "x", 1, 0)), "priority");
-  assert.equal(preemptionReason(tree, asker, victim("v", "x", 1, 1)), null);
+  assert.equal(preemptionReason(tree, preemptor, victim("v", "x", 1, 0)), "priority");
+  assert.equal(preemptionReason(tree, preemptor, victim("v", "x", 1, 1)), null);
 });
 
-test("preemption: evening out never destroys more than the asker has waited", () => {
+test("preemption: evening out shares never exceeds the preemptor's max fair loss", () => {
   const tree = flatTree(teams);
   tree.charge("x", cpus(20));
   tree.charge("y", cpus(40));
-  const asker = {
+  const preemptor = {
     team: "x",
     rank: 1,
     size: cpus(1),
@@ -146,11 +185,11 @@
     maxLoss: 40,
     maxFairLoss: 10,
   };
-  assert.equal(preemptionReason(tree, asker, victim("v", "y", 1, 1, 11)), null);
-  assert.equal(preemptionReason(tree, asker, victim("v", "y", 1, 1, 9)), "fair");
+  assert.equal(preemptionReason(tree, preemptor, victim("v", "y", 1, 1, 11)), null);
+  assert.equal(preemptionReason(tree, preemptor, victim("v", "y", 1, 1, 9)), "fair");
 });
 
-const pickCases = [
+const selectionCases = [
   {
     name: "C1: the highest share first",
     victims: [victim("y1", "y", 2), victim("z1", "z", 2)],
@@ -170,20 +209,25 @@
     want: ["z2"],
   },
   {
-    name: "put back: what the larger pick makes needless",
+    name: "a victim that a later, larger one makes needless is removed",
     victims: [victim("z1", "z", 1), victim("z2", "z", 4)],
     need: 4,
     want: ["z2"],
   },
-  { name: "nothing when it does not help", victims: [victim("z1", "z", 1)], need: 4, want: [] },
+  {
+    name: "no victims when stopping them does not help",
+    victims: [victim("z1", "z", 1)],
+    need: 4,
+    want: [],
+  },
 ];
-for (const c of pickCases) {
+for (const c of selectionCases) {
   test(`preemption: ${c.name}`, () => {
     const tree = flatTree(teams);
     tree.charge("x", cpus(4));
     tree.charge("y", cpus(22));
     tree.charge("z", cpus(14));
-    const picks = chooseVictims(
+    const selected = chooseVictims(
       tree,
       {
         team: "x",
@@ -195,13 +239,13 @@
       },
       c.victims,
       (stopped) => {
-        // Freed amounts do not add up across machines: each victim is on one of its own.
+        // Each victim is on its own machine, so freed amounts do not add up.
         return c.victims.some((v) => stopped.has(v.id) && v.size.cpus >= c.need);
       },
       16,
     );
     assert.deepEqual(
-      picks.map((pick) => pick.victim.id),
+      selected.map((selection) => selection.victim.id),
       c.want,
     );
     assert.equal(tree.use("z").cpus, 14, "the tree is left as it was");
@@ -209,28 +253,28 @@
 }
 
 const badTuning = [
-  { name: "an unknown field", text: '\nteam { nme: "x" }', says: /^f:2: .*nme/ },
-  { name: "a weight of zero", text: 'team { name: "x"\nweight: 0 }', says: /^f:1: x: weight/ },
+  { name: "an unknown field", text: '\nteam { nme: "x" }', pattern: /^f:2: .*nme/ },
+  { name: "a weight of zero", text: 'team { name: "x"\nweight: 0 }', pattern: /^f:1: x: weight/ },
   {
     name: "a weight that is no number",
     text: 'team {\n name: "x"\n weight: much\n}',
-    says: /^f:3: /,
+    pattern: /^f:3: /,
   },
-  { name: "a team the platform lacks", text: '\n\nteam { name: "w" }', says: /^f:3: .*team w/ },
-  { name: "an unknown group", text: 'team { name: "x" group: "g" }', says: /^f:1: .*group g/ },
+  { name: "a team the platform lacks", text: '\n\nteam { name: "w" }', pattern: /^f:3: .*team w/ },
+  { name: "an unknown group", text: 'team { name: "x" group: "g" }', pattern: /^f:1: .*group g/ },
   {
     name: "a cycle of groups",
     text: 'group { name: "g" parent: "h" }\ngroup { name: "h" parent: "g" }',
-    says: /^f:1: .*inside itself/,
+    pattern: /^f:1: .*inside itself/,
   },
-  { name: "too little headroom", text: "rental {\n headroom: 0.5 }", says: /^f:2: headroom/ },
+  { name: "too little headroom", text: "rental {\n headroom: 0.5 }", pattern: /^f:2: headroom/ },
 ];
-for (const { name, text, says } of badTuning) {
+for (const { name, text, pattern } of badTuning) {
   test(`tuning: refuses ${name}, with file, line and reason`, () => {
     const platform = teams.map((team) => ({ ...team, cpus_max: 0, gpus_max: 0 }));
     assert.throws(
       () => parseTuning(text, "f", platform),
-      (error) => error instanceof SettingsError && says.test(error.message),
+      (error) => error instanceof SettingsError && pattern.test(error.message),
     );
   });
 }
