--- a/src/part/allowances.ts
+++ b/src/part/allowances.ts
@@ -13,80 +13,84 @@
 import { isUsable } from "./usable-machine.js";
 import type { Workers } from "./workers.js";
 
-/** A task that may have to go because its team's allowance is less than it uses. */
-interface Running {
+/** A task that may have to be stopped because its team uses more than its allowance. */
+interface RunningTask {
   live: Allocation;
   cpus: number;
   gpus: number;
   /** Milliseconds of work that stopping it loses. */
   lossMs: number;
-  /** How long it may save, seconds; null while it is not being stopped. */
+  /** Grace time to save, seconds; null if the task is not being stopped. */
   stopping: number | null;
 }
 
-const exceeds = (use: Amounts, most: Amounts): boolean =>
-  use.cpus > most.cpus + EPSILON || use.gpus > most.gpus + EPSILON;
+const exceeds = (use: Amounts, limit: Amounts): boolean =>
+  use.cpus > limit.cpus + EPSILON || use.gpus > limit.gpus + EPSILON;
 
 /**
- * Which tasks of one team must go so that what stays fits: those that lose the least first, by
- * name among equals. Tasks counted as going already make room; what `sure` says must be on its way
- * without a save does not count as going while it saves. A pure function.
+ * Selects tasks of one team to stop so that the remaining ones fit the limit: those that lose the
+ * least work first, by name among equals. Tasks that are being stopped already do not count as
+ * remaining; with `withoutGrace`, those that still have time to save do. A pure function.
  */
-export function leaving(running: readonly Running[], most: Amounts, sure: boolean): Running[] {
+export function leaving(
+  running: readonly RunningTask[],
+  limit: Amounts,
+  withoutGrace: boolean,
+): RunningTask[] {
   const use = { cpus: 0, gpus: 0 };
-  const staying: Running[] = [];
-  for (const one of running) {
-    if (one.stopping !== null && (!sure || one.stopping === 0)) continue;
-    use.cpus += one.cpus;
-    use.gpus += one.gpus;
-    staying.push(one);
+  const remaining: RunningTask[] = [];
+  for (const task of running) {
+    if (task.stopping !== null && (!withoutGrace || task.stopping === 0)) continue;
+    use.cpus += task.cpus;
+    use.gpus += task.gpus;
+    remaining.push(task);
   }
-  if (!exceeds(use, most)) return [];
-  staying.sort((a, b) => {
-    // What saves already goes before what runs.
+  if (!exceeds(use, limit)) return [];
+  remaining.sort((a, b) => {
+    // Tasks that are saving already are stopped before running ones.
     const order = Number(a.stopping === null) - Number(b.stopping === null);
     if (order !== 0) return order;
     return a.lossMs - b.lossMs || (a.live.task < b.live.task ? -1 : 1);
   });
-  const chosen: Running[] = [];
-  for (const one of staying) {
-    if (!exceeds(use, most)) break;
-    const helps =
-      (use.cpus > most.cpus + EPSILON && one.cpus > 0) ||
-      (use.gpus > most.gpus + EPSILON && one.gpus > 0);
-    if (!helps) continue;
-    use.cpus -= one.cpus;
-    use.gpus -= one.gpus;
-    chosen.push(one);
+  const chosen: RunningTask[] = [];
+  for (const task of remaining) {
+    if (!exceeds(use, limit)) break;
+    const reducesExcess =
+      (use.cpus > limit.cpus + EPSILON && task.cpus > 0) ||
+      (use.gpus > limit.gpus + EPSILON && task.gpus > 0);
+    if (!reducesExcess) continue;
+    use.cpus -= task.cpus;
+    use.gpus -= task.gpus;
+    chosen.push(task);
   }
   return chosen;
 }
 
-/** Stops what runs beyond an allowance: with time to save above `softLimit`, at once above `hardLimit`. */
+/** Stops tasks beyond allowances: above `softLimit` with time to save, above `hardLimit` at once. */
 export function withdrawAllowances(
-  rules: PlacementPolicy,
+  policy: PlacementPolicy,
   ctx: PartContext,
   ledger: Ledger,
   workers: Workers,
 ): void {
   const now = ctx.clock.now();
-  for (const team of rules.teams()) {
+  for (const team of policy.teams()) {
     const use = ledger.use.get(team);
-    const allowance = rules.allowance(team, ctx.index);
+    const allowance = policy.allowance(team, ctx.index);
     if (use === undefined || allowance === null) continue;
     if (!exceeds(use, allowance.softLimit) && !exceeds(use, allowance.hardLimit)) continue;
-    const running: Running[] = [];
+    const running: RunningTask[] = [];
     for (const job of ledger.jobs.values()) {
       if (job.spec.team !== team) continue;
       const { cpus, gpus, checkpointS, saveS } = job.spec;
       for (const chunk of job.chunks.values()) {
         for (const live of chunk.allocations.values()) {
-          const ran = now - live.since;
+          const ranMs = now - live.since;
           running.push({
             live,
             cpus,
             gpus,
-            lossMs: checkpointS > 0 ? Math.min(ran, (checkpointS + saveS) * 1000) : ran,
+            lossMs: checkpointS > 0 ? Math.min(ranMs, (checkpointS + saveS) * 1000) : ranMs,
             stopping: live.stopRequest === null ? null : live.stopRequest.graceS,
           });
         }
@@ -101,43 +105,46 @@
   }
 }
 
-/** CPUs of jobs that only lack room. What its team's slice does not hold would wait in any case. */
+/**
+ * CPUs of waiting tasks that lack only free resources, at most what is left of their teams' slices:
+ * tasks beyond a slice would wait in any case.
+ */
 export function starvedOf(
   blocked: readonly Job[],
   quota: Quota,
   { rules, places }: { rules: PlacementPolicy; places: PlacementConstraints },
   { machines, types }: Pick<Pass, "machines" | "types">,
 ): number {
-  // Room that no guest's machine could give: ending grants for it would help nobody.
-  const helps = (spec: JobSpec): boolean =>
+  // A task that no machine here could run is not counted: ending guests' grants would not help it.
+  const couldRunHere = (spec: JobSpec): boolean =>
     machines.some((machine) => {
       const type = types.get(machine.type);
       return type !== undefined && places.allows(spec, machine) && fitsResources(type, spec);
     });
   const byTeam = new Map<string, number>();
   for (const { spec, failures, pending } of blocked) {
-    if (rules.preemptible(spec.team) || failures > 1 || !helps(spec)) continue;
+    if (rules.preemptible(spec.team) || failures > 1 || !couldRunHere(spec)) continue;
     byTeam.set(spec.team, (byTeam.get(spec.team) ?? 0) + pending * spec.cpus);
   }
   let cpus = 0;
-  for (const [team, wanted] of byTeam) cpus += Math.min(wanted, quota.left(team));
+  for (const [team, wanted] of byTeam) cpus += Math.min(wanted, quota.unusedCpus(team));
   return cpus;
 }
 
-/** Rounded down: an amount that is not there must not be sold. */
-const down = (value: number): number => Math.max(0, Math.floor(value * 100 + EPSILON) / 100);
-/** Unlike rooms that a summary names at most, the largest first: it has to fit a value. */
-const MOST_ROOMS = 24;
+/** Rounds down to hundredths: an amount that is not free must not be sold. */
+const roundDown = (value: number): number => Math.max(0, Math.floor(value * 100 + EPSILON) / 100);
+/** Most entries of free resources in a summary, the largest first: it must fit a stored value. */
+const MAX_FREE_CAPACITY_ENTRIES = 24;
 
-/** Free room, machine by machine; alike ones are counted together. */
+/** Free resources by machine; machines of a zone with equal free resources are counted together. */
 export function freeCapacityOf(machines: Iterable<Machine>, ctx: PartContext): FreeCapacity[] {
   const found = new Map<string, FreeCapacity>();
   const types = ctx.types();
   for (const machine of machines) {
     const type = types.get(machine.type);
     if (type === undefined || !isUsable(machine, ctx) || machine.reserved.size > 0) continue;
-    const room = machine.freeResources(type);
-    const [cpus, gpus, memGb] = [down(room.cpus), down(room.gpus), down(room.memGb)];
+    const free = machine.freeResources(type);
+    const [cpus, gpus, memGb] = [roundDown(free.cpus), roundDown(free.gpus), roundDown(free.memGb)];
     if (cpus <= 0 && gpus <= 0) continue;
     const key = `${machine.zone}/${cpus}/${gpus}/${memGb}`;
     const known = found.get(key);
@@ -146,5 +153,5 @@
   }
   return [...found.values()]
     .sort((a, b) => b.cpus * b.count - a.cpus * a.count)
-    .slice(0, MOST_ROOMS);
+    .slice(0, MAX_FREE_CAPACITY_ENTRIES);
 }
--- a/src/part/inspect.ts
+++ b/src/part/inspect.ts
@@ -6,22 +6,22 @@
 import type { Quota } from "./quota.js";
 import { isUsable } from "./usable-machine.js";
 
-/** How a part's machines stand for one job, or for any. Counts. */
+/** Counts of a part's machines by state, for one job or for any. */
 export interface MachineCounts {
   all: number;
-  /** Take tasks now. */
+  /** May be given tasks now. */
   usable: number;
-  /** Of those, of a type, zone and kind that the job may use. */
+  /** Of the usable ones: of a type, zone and kind that the job may use. */
   allowed: number;
-  /** Of those, with room for one of its tasks. */
+  /** Of the allowed ones: with free resources for one of its tasks. */
   roomy: number;
   silent: number;
   deaf: number;
-  /** Set aside since different jobs fail there, or about to be taken by the cloud. */
+  /** Retired because different jobs fail there, or about to be taken back by the cloud. */
   leaving: number;
 }
 
-/** One job, or jobs within a guarantee of which nothing has been placed for so long. */
+/** What to inspect: one job, or jobs within a guarantee with nothing placed for `stuckMs`. */
 export type Inspected = { id: string } | { stuckMs: number };
 
 /** What the owner of a part knows of one job. Durations in seconds, amounts in CPUs. */
@@ -34,85 +34,86 @@
   placed: number;
   running: number;
   done: number;
-  /** Tasks that are being handed to another part. */
+  /** Waiting tasks that are being handed over to another part. */
   leaving: number;
-  /** Placed tasks whose machines have not been heard, or do not hear us, for so long at the most. */
+  /** The longest time for which a placed task's machine has been silent or unreachable. */
   unheardS: number;
   waitedS: number;
   guaranteed: boolean;
   failures: number;
-  /** Before that it is not tried again, from now. */
+  /** Time from now before which no task is started again after failures. */
   pauseS: number;
-  /** Jobs that it waits for, some of them if they are many. Absent in what an older version says. */
+  /** Jobs that it waits for, at most 20. Absent in answers of an older build. */
   awaits?: readonly string[];
-  /** When it and all before it are done by their estimates, and when it is due, from now. */
+  /** From now: when it and all jobs before it are done by their estimates, and when it is due. */
   expectedS?: number;
   dueS?: number | null;
-  /** Nothing of it may start now, by its expressions, or because it waits for others. */
+  /** None of its tasks may start now, because of its expressions or of jobs that it waits for. */
   idle: boolean;
   held: string | null;
-  /** Whether the part's slice of the limit holds one more of its tasks, and what it holds in all. */
+  /** Whether one more of its tasks fits the part's quota slice, and the CPUs left of that slice. */
   fitsQuota: boolean;
   sliceLeft: number | null;
-  /** A higher priority of its team lacks quota, so it starts nothing. */
+  /** It starts nothing because jobs of its team with a higher priority lack quota. */
   behind: boolean;
   lent: boolean;
   machines: MachineCounts;
-  /** Machines in which room is being made for it. */
+  /** Machines on which resources are reserved for it. */
   reserved: number;
-  /** Whether any type there is holds one of its tasks. */
+  /** Whether one of its tasks fits any machine type. */
   fitsSome: boolean;
 }
 
-/** What the owner of a part knows of it. */
+/** What the owner of a part knows of the part. */
 export interface PartInspection {
   part: number;
   token: number;
   settling: boolean;
-  /** What is left of the budget of changes; below zero, commits wait. */
+  /** Changes that the write rate limiter still allows; below zero, commits wait. */
   changesLeft: number;
   machines: MachineCounts;
   jobs: JobInspection[];
 }
 
-/** Reads, and changes nothing: asked for by people, never in a pass. */
+/** Answers diagnostic questions of operators; reads only, and is not used in placement passes. */
 export class Inspector {
   constructor(
     readonly ctx: PartContext,
     readonly ledger: Ledger,
     readonly quota: Quota,
-    /** By team, below which priority nothing was started in the last pass. */
-    readonly holds: () => ReadonlyMap<string, number>,
+    /** By team, the priority below which checkpointing jobs started nothing in the last pass. */
+    readonly priorityFloors: () => ReadonlyMap<string, number>,
   ) {}
 
   part(which: Inspected): PartInspection {
     const { index, token, store } = this.ctx;
-    const jobs = "id" in which ? this.#one(which.id) : this.#stuck(which.stuckMs);
+    const jobs = "id" in which ? this.#jobById(which.id) : this.#stuckJobs(which.stuckMs);
     return {
       part: index,
       token,
       settling: this.ctx.reconcilingRestore(),
       changesLeft: Math.round(store.writes.level),
-      machines: this.#machines(null),
-      jobs: jobs.map((job) => this.#job(job)),
+      machines: this.#countMachines(null),
+      jobs: jobs.map((job) => this.#inspectJob(job)),
     };
   }
 
-  #one(id: string): Job[] {
+  #jobById(id: string): Job[] {
     const job = this.ledger.jobs.get(id);
     return job === undefined ? [] : [job];
   }
 
-  #stuck(forMs: number): Job[] {
+  #stuckJobs(forMs: number): Job[] {
     const { clock, guaranteed } = this.ctx;
-    const inside = guaranteed();
+    const withinGuarantee = guaranteed();
     const before = clock.now() - forMs;
     return [...this.ledger.jobs.values()].filter(
-      (job) => inside.has(job.id) && job.open && job.waitingSince < before && job.pending > 0,
+      (job) =>
+        withinGuarantee.has(job.id) && job.open && job.waitingSince < before && job.pending > 0,
     );
   }
 
-  #machines(job: Job | null): MachineCounts {
+  #countMachines(job: Job | null): MachineCounts {
     const { ctx } = this;
     const types = ctx.types();
     const now = ctx.clock.now();
@@ -126,8 +127,8 @@
       counts.usable++;
       if (job === null || !this.#allows(job, machine)) continue;
       counts.allowed++;
-      const room = withoutReservations(machine.freeResourcesIn(types), machine, job.id);
-      if (fitsResources(room, job.spec)) counts.roomy++;
+      const available = withoutReservations(machine.freeResourcesIn(types), machine, job.id);
+      if (fitsResources(available, job.spec)) counts.roomy++;
     }
     return counts;
   }
@@ -136,25 +137,25 @@
     return this.ctx.constraints.allows(job.spec, machine) && !machine.failedJobs.has(job.id);
   }
 
-  #job(job: Job): JobInspection {
+  #inspectJob(job: Job): JobInspection {
     const { ctx, quota } = this;
     const { id, spec } = job;
     const now = ctx.clock.now();
     const chunks = [...job.chunks.values()];
-    const sum = (of: (chunk: Chunk) => number): number =>
-      chunks.reduce((all, chunk) => all + of(chunk), 0);
+    const sum = (count: (chunk: Chunk) => number): number =>
+      chunks.reduce((all, chunk) => all + count(chunk), 0);
     let unheardMs = 0;
     let running = 0;
-    for (const { allocations: live } of chunks) {
-      for (const { machine, running: runs } of live.values()) {
-        if (runs) running++;
+    for (const { allocations } of chunks) {
+      for (const { machine, running: isRunning } of allocations.values()) {
+        if (isRunning) running++;
         const known = this.ledger.machines.get(machine);
-        const heard = Math.min(known?.lastSeen ?? now, known?.unreachableSince ?? now);
-        unheardMs = Math.max(unheardMs, now - heard);
+        const lastContact = Math.min(known?.lastSeen ?? now, known?.unreachableSince ?? now);
+        unheardMs = Math.max(unheardMs, now - lastContact);
       }
     }
-    const left = quota.left(spec.team);
-    const matching = ctx.constraints.matcher;
+    const unusedCpus = quota.unusedCpus(spec.team);
+    const matcher = ctx.constraints.matcher;
     const pending = job.pending;
     let reserved = 0;
     for (const machine of this.ledger.machines.values()) if (machine.reserved.has(id)) reserved++;
@@ -177,12 +178,12 @@
       expectedS: seconds(ctx.pipelines.expectedMs(id)),
       dueS: Number.isFinite(job.due) ? seconds(job.due - ctx.clock.wall()) : null,
       idle: ctx.constraints.cannotStart(id, spec),
-      held: spec.match === undefined ? null : (matching?.holdReason(id) ?? null),
-      fitsQuota: spec.cpus <= left + 1e-6,
-      sliceLeft: Number.isFinite(left) ? left : null,
-      behind: spec.checkpointS > 0 && spec.rank < (this.holds().get(spec.team) ?? 0),
+      held: spec.match === undefined ? null : (matcher?.holdReason(id) ?? null),
+      fitsQuota: spec.cpus <= unusedCpus + 1e-6,
+      sliceLeft: Number.isFinite(unusedCpus) ? unusedCpus : null,
+      behind: spec.checkpointS > 0 && spec.rank < (this.priorityFloors().get(spec.team) ?? 0),
       lent: ctx.isBorrower(spec.team),
-      machines: this.#machines(job),
+      machines: this.#countMachines(job),
       reserved,
       fitsSome: [...ctx.types().values()].some((type) => typeFits(spec, type)),
     };
--- a/src/part/placement.ts
+++ b/src/part/placement.ts
@@ -20,13 +20,13 @@
 import { priorityFloors } from "./quota-shortage.js";
 import { isUsable } from "./usable-machine.js";
 
-/** What one pass over the waiting jobs works with. */
+/** Input of one placement pass over the waiting jobs. */
 export interface Pass {
   now: number;
   types: ReadonlyMap<string, MachineType>;
-  /** The machines that take tasks. */
+  /** Machines that may be given tasks. */
   machines: Machine[];
-  /** All teams' use, in all parts. */
+  /** Share tree charged with the use of all teams in all parts. */
   tree: ShareTree;
   guaranteed: ReadonlySet<string>;
 }
@@ -49,14 +49,17 @@
   };
 }
 
-/** Gives waiting tasks to machines that have room: the team with the lowest share first. */
+/** Places waiting tasks on machines with free resources, the team with the lowest share first. */
 export class Placement {
-  /** Shapes of tasks that found no machine in this pass: room only shrinks while it lasts. */
-  readonly #hopeless = new Set<string>();
+  /**
+   * Shapes of tasks that found no machine in this pass. They are not searched for again: free
+   * resources only shrink during a pass.
+   */
+  readonly #unplaceableShapes = new Set<string>();
   readonly #lending: Lending;
-  /** By team, below which priority jobs that save started nothing in the last pass. */
+  /** By team, the priority below which checkpointing jobs started nothing in the last pass. */
   priorityFloors: ReadonlyMap<string, number> = new Map();
-  #last: { job: Job; machine: Machine } | null = null;
+  #lastPlaced: { job: Job; machine: Machine } | null = null;
 
   constructor(
     readonly ctx: PartContext,
@@ -66,12 +69,12 @@
     this.#lending = new Lending(ctx, ledger);
   }
 
-  /** Places what fits, and returns the jobs that are still waiting, the most urgent first. */
+  /** Places what fits and returns the jobs that still wait, the most urgent first. */
   run(pass: Pass): Job[] {
     const { now, machines, tree, guaranteed } = pass;
-    this.#hopeless.clear();
-    this.#last = null;
-    this.#lending.begin();
+    this.#unplaceableShapes.clear();
+    this.#lastPlaced = null;
+    this.#lending.beginPass();
     const queues = new Map<string, Job[]>();
     for (const job of this.ledger.jobs.values()) {
       if (job.notBefore > now || !job.wanted || job.pending === 0) continue;
@@ -86,58 +89,65 @@
         if (until < now || job === undefined || job.pending === 0) machine.reserved.delete(id);
       }
     }
-    const timely = this.ctx.onTime();
-    const { policy: rules } = this.ctx;
+    const onTime = this.ctx.onTime();
+    const { policy } = this.ctx;
     const neglected = neglectedOf(this.ledger.jobs.values(), now, this.ctx.leaseMs);
-    const order = (queue: Job[]): void => {
+    const sortQueue = (queue: Job[]): void => {
       queue.sort((a, b) => {
-        const x = guaranteed.has(a.id);
-        return x === guaranteed.has(b.id) ? byUrgency(a, b, timely, neglected) : x ? -1 : 1;
+        const aGuaranteed = guaranteed.has(a.id);
+        return aGuaranteed === guaranteed.has(b.id)
+          ? byUrgency(a, b, onTime, neglected)
+          : aGuaranteed
+            ? -1
+            : 1;
       });
     };
-    for (const queue of queues.values()) order(queue);
-    const holds = priorityFloors(queues, timely, this.quota);
-    this.priorityFloors = holds;
+    for (const queue of queues.values()) sortQueue(queue);
+    const floors = priorityFloors(queues, onTime, this.quota);
+    this.priorityFloors = floors;
     const blocked: Job[] = [];
     while (queues.size > 0) {
-      // The lowest share starts first.
+      // The team with the lowest share is served first.
       let team = "";
       let shares: number[] = [];
-      let filled = 0;
-      let behind = true;
+      let guaranteeUse = 0;
+      let onlyPreemptible = true;
       for (const name of queues.keys()) {
-        // Who yields comes when nobody else has anything left that fits.
-        const yields = rules?.preemptible(name) === true;
-        if (yields && !behind) continue;
-        if (behind && !yields) team = "";
-        behind = yields;
-        // The first task of a job that was passed over for long: after those within a guarantee,
-        // before all who borrow.
-        const first = neglected.has(queues.get(name)![0]!.id);
-        const own = first ? [] : tree.shares(name);
-        // Below their guarantees all shares are zero: then the one with the least of it.
-        const less = team === "" ? -1 : compareShares(own, shares);
-        const full = first ? Math.min(1, tree.guaranteeUse(name)) : tree.guaranteeUse(name);
-        if (less < 0 || (less === 0 && full < filled)) {
+        // Preemptible teams are served only when no other team has a job left that fits.
+        const preemptible = policy?.preemptible(name) === true;
+        if (preemptible && !onlyPreemptible) continue;
+        if (onlyPreemptible && !preemptible) team = "";
+        onlyPreemptible = preemptible;
+        // The first task of a neglected job is served after jobs within a guarantee and before all
+        // that run beyond one.
+        const isNeglected = neglected.has(queues.get(name)![0]!.id);
+        const teamShares = isNeglected ? [] : tree.shares(name);
+        // Below their guarantees all shares are zero; then the lowest use of its guarantee counts.
+        const shareOrder = team === "" ? -1 : compareShares(teamShares, shares);
+        const teamGuaranteeUse = isNeglected
+          ? Math.min(1, tree.guaranteeUse(name))
+          : tree.guaranteeUse(name);
+        if (shareOrder < 0 || (shareOrder === 0 && teamGuaranteeUse < guaranteeUse)) {
           team = name;
-          shares = own;
-          filled = full;
+          shares = teamShares;
+          guaranteeUse = teamGuaranteeUse;
         }
       }
       const queue = queues.get(team)!;
       const job = queue[0]!;
-      // It asks for nothing either: neither for room nor for another part's.
-      const held = job.spec.checkpointS > 0 && job.spec.rank < (holds.get(team) ?? 0);
-      const start = (): boolean =>
-        job.spec.kind === "gang" ? this.#gang(job, pass) : this.#one(job, pass);
-      if (!held && start()) {
-        // It has begun, and is one of the others again.
-        if (neglected.delete(job.id)) order(queue);
+      // Below the floor, a job requests nothing either: no preemption and no other part's resources.
+      const belowFloor = job.spec.checkpointS > 0 && job.spec.rank < (floors.get(team) ?? 0);
+      const tryStart = (): boolean =>
+        job.spec.kind === "gang" ? this.#placeGang(job, pass) : this.#placeOne(job, pass);
+      if (!belowFloor && tryStart()) {
+        // A task of it has been placed, so the job is not neglected any more.
+        if (neglected.delete(job.id)) sortQueue(queue);
         continue;
       }
-      if (job.pending > 0 && !held) {
+      if (job.pending > 0 && !belowFloor) {
         blocked.push(job);
-        if (!this.ctx.isBorrower(team) && !this.quota.short.has(team)) this.#lending.missedAt = now;
+        if (!this.ctx.isBorrower(team) && !this.quota.shortages.has(team))
+          this.#lending.lastShortageAt = now;
       }
       queue.shift();
       if (queue.length === 0) queues.delete(team);
@@ -150,44 +160,46 @@
     tree.charge(job.spec.team, job.spec);
   }
 
-  /** All waiting tasks of a gang, or none. */
-  #gang(job: Job, pass: Pass): boolean {
-    // The former attempt has to be over on all machines before all start once more.
+  /** Places all waiting tasks of a gang, or none. */
+  #placeGang(job: Job, pass: Pass): boolean {
+    // The previous attempt must have ended on all machines before the gang starts again.
     if (job.hasAllocations) return false;
-    const hosts = this.#gangHosts(job, pass);
+    const hosts = this.#findGangMachines(job, pass);
     if (hosts === null) return false;
     for (const chunk of job.chunks.values()) {
       for (let index = chunk.nextPending(); index !== null; index = chunk.nextPending()) {
         this.#place(job, chunk, index, hosts.pop()!, pass);
-        this.#lending.taken(job.spec);
+        this.#lending.onPlaced(job.spec);
       }
     }
     return true;
   }
 
-  /** A machine for every waiting task of a gang, or null when not all of them fit at once. */
-  #gangHosts(job: Job, pass: Pass): Machine[] | null {
+  /** Finds a machine for every waiting task of a gang, or null when they do not all fit at once. */
+  #findGangMachines(job: Job, pass: Pass): Machine[] | null {
     const { machines, types } = pass;
     const { spec, pending: count } = job;
     if (count === 0 || !this.quota.fits(spec, count)) return null;
-    if (this.ctx.isBorrower(spec.team) && spec.cpus * count > this.#lending.lends(pass))
+    if (this.ctx.isBorrower(spec.team) && spec.cpus * count > this.#lending.lendableCpus(pass))
       return null;
     const zones = spec.oneZone ? [...new Set(machines.map(({ zone }) => zone))] : [null];
-    const rankOn = spec.match === undefined ? null : this.ctx.constraints.rankerFor(spec);
-    const preferred = rankOn === null ? machines : ranked(machines, types, rankOn);
+    const rankMachine = spec.match === undefined ? null : this.ctx.constraints.rankerFor(spec);
+    const preferred = rankMachine === null ? machines : sortByRank(machines, types, rankMachine);
     for (const zone of zones) {
       const hosts: Machine[] = [];
       const perZone = new Map<string, number>();
       for (const machine of preferred) {
         if (!kindAllowed(spec, machine) || (zone !== null && machine.zone !== zone)) continue;
-        const room = { ...withoutReservations(machine.freeResourcesIn(types), machine, job.id) };
+        const available = {
+          ...withoutReservations(machine.freeResourcesIn(types), machine, job.id),
+        };
         while (
           hosts.length < count &&
-          fitsResources(room, spec) &&
-          (rankOn === null || rankOn(machine, room) !== null) &&
+          fitsResources(available, spec) &&
+          (rankMachine === null || rankMachine(machine, available) !== null) &&
           zoneAllowed(spec, machine.zone, perZone)
         ) {
-          addResources(room, spec, -1);
+          addResources(available, spec, -1);
           hosts.push(machine);
           perZone.set(machine.zone, (perZone.get(machine.zone) ?? 0) + 1);
         }
@@ -197,76 +209,84 @@
     return null;
   }
 
-  /** The zones of a job's tasks that are placed. */
-  #zones(job: Job): Map<string, number> {
+  /** Counts a job's placed tasks by zone. */
+  #tasksByZone(job: Job): Map<string, number> {
     const zones = new Map<string, number>();
     for (const chunk of job.chunks.values()) {
-      for (const live of chunk.allocations.values()) {
-        const zone = this.ledger.machines.get(live.machine)?.zone ?? "";
+      for (const allocation of chunk.allocations.values()) {
+        const zone = this.ledger.machines.get(allocation.machine)?.zone ?? "";
         zones.set(zone, (zones.get(zone) ?? 0) + 1);
       }
     }
     return zones;
   }
 
-  #one(job: Job, pass: Pass): boolean {
+  #placeOne(job: Job, pass: Pass): boolean {
     const { spec } = job;
     if (!this.quota.fits(spec)) return false;
-    const lent = this.ctx.isBorrower(spec.team);
-    if (lent && spec.cpus > this.#lending.lends(pass)) return false;
-    // Its tasks may be placed only so many at a time.
+    const borrower = this.ctx.isBorrower(spec.team);
+    if (borrower && spec.cpus > this.#lending.lendableCpus(pass)) return false;
+    // The job limits how many of its tasks are placed at a time, and that many are.
     if (spec.match !== undefined && job.pending === 0) return false;
-    // A job that keeps failing is tried with one task at a time.
+    // A job that fails repeatedly runs one task at a time.
     if (job.failures > 1 && job.hasAllocations) return false;
-    const machine = this.#again(job, pass) ?? this.#best(job, pass);
+    const machine = this.#lastMachineIfFits(job, pass) ?? this.#bestMachine(job, pass);
     if (machine === null) return false;
     for (const chunk of job.chunks.values()) {
       if (chunk.movingTo !== null || !this.ledger.holds(chunk, machine.id)) continue;
       const index = chunk.nextPending();
       if (index === null) continue;
       this.#place(job, chunk, index, machine, pass);
-      this.#lending.taken(spec);
-      this.#last = { job, machine };
+      this.#lending.onPlaced(spec);
+      this.#lastPlaced = { job, machine };
       return true;
     }
     return false;
   }
 
-  /** The machine of the task before, which is the fullest of its kind and fuller now. */
-  #again(job: Job, { types }: Pass): Machine | null {
+  /**
+   * The machine that took the job's previous task, if one more fits. It had the lowest cost of its
+   * kind and has even fewer free resources now, so no search is needed.
+   */
+  #lastMachineIfFits(job: Job, { types }: Pass): Machine | null {
     const { spec } = job;
-    if (this.#last?.job !== job || spec.oneZone || spec.spread) return null;
-    // What changes with a machine's room has to be asked anew of all machines.
+    if (this.#lastPlaced?.job !== job || spec.oneZone || spec.spread) return null;
+    // Where the rank depends on a machine's free resources, all machines must be evaluated again.
     if (spec.match !== undefined && this.ctx.constraints.equivalenceKey(spec) === null) return null;
-    const { machine } = this.#last;
-    const room = withoutReservations(
+    const { machine } = this.#lastPlaced;
+    const available = withoutReservations(
       machine.freeResources(types.get(machine.type)),
       machine,
       job.id,
     );
-    return fitsResources(room, spec) ? machine : null;
+    return fitsResources(available, spec) ? machine : null;
   }
 
-  #best(job: Job, pass: Pass): Machine | null {
+  #bestMachine(job: Job, pass: Pass): Machine | null {
     const { spec } = job;
     const { machines, guaranteed } = pass;
-    const like = this.ctx.constraints.equivalenceKey(spec);
-    const shape = shapeOf(spec, like);
-    const plain = like !== null && !spec.oneZone && !spec.spread && job.failures === 0;
-    if (plain && this.#hopeless.has(shape)) {
+    const equivalenceKey = this.ctx.constraints.equivalenceKey(spec);
+    const shape = shapeOf(spec, equivalenceKey);
+    const cacheable =
+      equivalenceKey !== null && !spec.oneZone && !spec.spread && job.failures === 0;
+    if (cacheable && this.#unplaceableShapes.has(shape)) {
       if (!machines.some(({ reserved }) => reserved.has(job.id))) return null;
     }
-    const best = this.#search(job, pass, guaranteed.has(job.id));
-    if (best === null && plain) this.#hopeless.add(shape);
+    const best = this.#searchMachines(job, pass, guaranteed.has(job.id));
+    if (best === null && cacheable) this.#unplaceableShapes.add(shape);
     return best;
   }
 
-  /** What a job with expressions ranks highest; among equals, and for all others, what costs least. */
-  #search(job: Job, { machines, types, now }: Pass, entitled: boolean): Machine | null {
+  /** The machine that a job with expressions ranks highest; among equals and else, the cheapest. */
+  #searchMachines(
+    job: Job,
+    { machines, types, now }: Pass,
+    withinGuarantee: boolean,
+  ): Machine | null {
     const { spec } = job;
-    const size = sizeOf(spec);
-    const zones = spec.oneZone || spec.spread ? this.#zones(job) : null;
-    const rankOn = spec.match === undefined ? null : this.ctx.constraints.rankerFor(spec);
+    const size = resourcesOf(spec);
+    const zones = spec.oneZone || spec.spread ? this.#tasksByZone(job) : null;
+    const rankMachine = spec.match === undefined ? null : this.ctx.constraints.rankerFor(spec);
     let best: Machine | null = null;
     let bestCost = Number.POSITIVE_INFINITY;
     let bestRank = Number.NEGATIVE_INFINITY;
@@ -274,21 +294,21 @@
       const free = machine.freeResourcesIn(types);
       if (!fitsResources(free, size)) continue;
       if (!kindAllowed(spec, machine) || machine.failedJobs.has(job.id)) continue;
-      const room = withoutReservations(free, machine, job.id);
-      if (room !== free && !fitsResources(room, size)) continue;
+      const available = withoutReservations(free, machine, job.id);
+      if (available !== free && !fitsResources(available, size)) continue;
       if (zones !== null && !zoneAllowed(spec, machine.zone, zones)) continue;
-      const cost = this.#cost(job, machine, room, entitled, now);
-      if (rankOn !== null) {
-        const wish = rankOn(machine, room);
-        if (wish === null) continue;
-        // Room that others made for this job comes first: what was stopped for it must be of use.
-        const kept = machine.reserved.size > 0 && machine.reserved.has(job.id);
-        const rank = kept ? Number.POSITIVE_INFINITY : wish;
+      const cost = this.#cost(job, machine, available, withinGuarantee, now);
+      if (rankMachine !== null) {
+        const jobRank = rankMachine(machine, available);
+        if (jobRank === null) continue;
+        // Resources reserved for this job come first: tasks were stopped to free them.
+        const reservedForJob = machine.reserved.size > 0 && machine.reserved.has(job.id);
+        const rank = reservedForJob ? Number.POSITIVE_INFINITY : jobRank;
         if (rank < bestRank) continue;
         if (rank > bestRank) bestCost = Number.POSITIVE_INFINITY;
         bestRank = rank;
       }
-      // The first of them, where all else is equal.
+      // Among equal machines, the first one.
       if (cost < bestCost) {
         best = machine;
         bestCost = cost;
@@ -298,39 +318,55 @@
   }
 
   /**
-   * The fullest cheap machine that has the image: keeps others free, to be used whole or returned,
-   * the dear ones first.
+   * Cost of placing a task of the job on a machine: lowest for a machine that is cheap, has the image
+   * and has the fewest free resources. The other machines stay free for large tasks or to be returned
+   * to the cloud, expensive ones first.
    */
-  #cost(job: Job, machine: Machine, room: Resources, entitled: boolean, now: number): number {
+  #cost(
+    job: Job,
+    machine: Machine,
+    available: Resources,
+    withinGuarantee: boolean,
+    now: number,
+  ): number {
     const { image } = job.spec;
     return (
-      room.cpus +
+      available.cpus +
       (machine.reserved.size > 0 && machine.reserved.has(job.id) ? -10_000 : 0) +
-      // Starts travel in answers to reports: what must not wait goes where one is due.
-      (entitled ? 100 * (1 - Math.min(1, (now - machine.lastSeen) / this.ctx.reportMs)) : 0) +
+      // Start commands are sent in answers to reports, so a job within its guarantee prefers machines
+      // whose next report is due soon.
+      (withinGuarantee
+        ? 100 * (1 - Math.min(1, (now - machine.lastSeen) / this.ctx.reportMs))
+        : 0) +
       (machine.spot ? 0 : 1000) +
       (image === null || machine.images.has(image) ? 0 : 2000)
     );
   }
 }
 
-/** The machines that a job likes best first; the others in the order in which they are. */
-function ranked(
+/** Sorts machines by the job's rank, highest first; equal ones keep their order. */
+function sortByRank(
   machines: readonly Machine[],
   types: Pass["types"],
-  rankOn: ReturnType<PlacementConstraints["rankerFor"]>,
+  rankMachine: ReturnType<PlacementConstraints["rankerFor"]>,
 ): Machine[] {
   return machines
     .map((machine) => {
-      const rank = rankOn(machine, machine.freeResourcesIn(types)) ?? Number.NEGATIVE_INFINITY;
+      const rank = rankMachine(machine, machine.freeResourcesIn(types)) ?? Number.NEGATIVE_INFINITY;
       return { machine, rank };
     })
     .sort((a, b) => (a.rank === b.rank ? 0 : b.rank - a.rank))
     .map(({ machine }) => machine);
 }
 
-/** Always of the same form, unlike jobs, some of which have expressions: for the innermost loops. */
-const sizeOf = ({ cpus, gpus, memGb }: JobSpec): Resources => ({ cpus, gpus, memGb });
+/**
+ * A job's size as an object that always has the same members, unlike job specs, some of which have
+ * expressions: keeps property access in the innermost loops fast.
+ */
+const resourcesOf = ({ cpus, gpus, memGb }: JobSpec): Resources => ({ cpus, gpus, memGb });
 
-const shapeOf = ({ cpus, gpus, memGb, spot, types, zone }: JobSpec, like: string | null): string =>
-  `${cpus}/${gpus}/${memGb}/${spot}/${types?.join() ?? ""}/${zone ?? ""}/${like}`;
+const shapeOf = (
+  { cpus, gpus, memGb, spot, types, zone }: JobSpec,
+  equivalenceKey: string | null,
+): string =>
+  `${cpus}/${gpus}/${memGb}/${spot}/${types?.join() ?? ""}/${zone ?? ""}/${equivalenceKey}`;
--- a/src/part/preemption.ts
+++ b/src/part/preemption.ts
@@ -19,30 +19,30 @@
 import type { PartContext } from "./context.js";
 import { type Job, rankOf } from "./job.js";
 import type { Ledger } from "./ledger.js";
-import { floorOf, lentUse } from "./lending.js";
+import { borrowerMinimumCpus, lentCpus } from "./lending.js";
 import type { Pass } from "./placement.js";
 import type { Quota } from "./quota.js";
 import { type QuotaShortage, quotaShortages } from "./quota-shortage.js";
 import type { Workers } from "./workers.js";
 
-/** A task that may be stopped, or the tasks of a gang, which count whole (DESIGN). */
+/** A task that may be stopped, or all tasks of a gang, which are stopped together (DESIGN). */
 interface Candidate extends Victim {
-  tasks: { live: Allocation; machine: Machine }[];
+  tasks: { allocation: Allocation; machine: Machine }[];
   spec: JobSpec;
 }
 
-/** Tasks that are stopped for one waiting task at most, and waiting tasks looked at in one go. */
-const MOST_PICKS = 16;
-const MOST_ASKERS = 16;
+/** Most tasks that are stopped for one waiting task, and most waiting tasks handled in one run. */
+const MAX_VICTIMS_PER_TASK = 16;
+const MAX_TASKS_PER_RUN = 16;
 
-/** Makes room for jobs that have a right to it, by the rules of KEP-1714. */
+/** Stops tasks to free resources for jobs that may preempt them, by the rules of KEP-1714. */
 export class Preemption {
-  /** Room that is about to be free, and what this pass has given away of it. */
-  #rooms = new Map<Machine, Resources>();
+  /** Free resources, including those of tasks being stopped, less what this run has reserved. */
+  #freeResources = new Map<Machine, Resources>();
   #candidates = new Map<string, Candidate>();
-  #byMachine = new Map<Machine, Candidate[]>();
-  #at = Number.NEGATIVE_INFINITY;
-  #evenedAt: number;
+  #candidatesByMachine = new Map<Machine, Candidate[]>();
+  #lastRunAt = Number.NEGATIVE_INFINITY;
+  #lastFairPreemptionAt: number;
 
   constructor(
     readonly ctx: PartContext,
@@ -50,322 +50,329 @@
     readonly quota: Quota,
     readonly workers: Workers,
   ) {
-    this.#evenedAt = ctx.clock.now();
+    this.#lastFairPreemptionAt = ctx.clock.now();
   }
 
   run(blocked: readonly Job[], pass: Pass): void {
     const { now, machines, guaranteed } = pass;
-    // Commands reach a worker once a report: looking more often than that finds little new.
-    if (now - this.#at < this.ctx.reportMs / 8) return;
-    this.#at = now;
-    // Every part evens out by itself and sees the others' use a little late: all at once they
-    // would overshoot, and the next moment the other way round.
-    let even = this.ctx.evenOut && now - this.#evenedAt > this.ctx.leaseMs;
-    // What is within a guarantee does not wait; anything else gives room a chance to turn up.
-    const { policy: rules } = this.ctx;
-    // Those who yield make room without delay, and never ask for any.
-    const prompt = rules !== null && this.#any(machines, (spec) => rules.preemptible(spec.team));
-    // Lent room that costs a save to have back: a report later, if none has turned up until then.
-    const lent =
-      this.#beyondFloor(pass) > 0 && this.#any(machines, (spec) => this.#givesBack(spec));
-    const askers = blocked.filter(
+    // Commands reach a worker once per report, so a more frequent run would find little new.
+    if (now - this.#lastRunAt < this.ctx.reportMs / 8) return;
+    this.#lastRunAt = now;
+    // Each part evens out shares on its own and sees the use of the others with a delay. All parts at
+    // once would overshoot, and then overshoot in the other direction.
+    let allowFair = this.ctx.evenOut && now - this.#lastFairPreemptionAt > this.ctx.leaseMs;
+    // Jobs within a guarantee preempt at once; others first wait for resources to become free.
+    const { policy } = this.ctx;
+    // Preemptible teams are preempted without delay, and never preempt.
+    const preemptibleRunning =
+      policy !== null && this.#anyRunning(machines, (spec) => policy.preemptible(spec.team));
+    // Lent resources that can be reclaimed at the cost of a save: after one report interval, unless
+    // resources have become free by then.
+    const lentReclaimable =
+      this.#cpusLentBeyondMinimum(pass) > 0 &&
+      this.#anyRunning(machines, (spec) => this.#isLentAndCheckpointed(spec));
+    const preemptors = blocked.filter(
       (job) =>
-        rules?.preemptible(job.spec.team) !== true &&
-        (prompt ||
+        policy?.preemptible(job.spec.team) !== true &&
+        (preemptibleRunning ||
           guaranteed.has(job.id) ||
-          now - job.waitingSince >= (lent ? this.ctx.reportMs : this.ctx.leaseMs)),
+          now - job.waitingSince >= (lentReclaimable ? this.ctx.reportMs : this.ctx.leaseMs)),
     );
-    const timely = this.ctx.onTime();
-    const missing = quotaShortages(blocked, timely, this);
-    if (askers.length === 0 && missing.size === 0) return;
-    this.#collect(pass);
-    this.#freeQuota(missing, pass);
-    const hopeless = new Set<string>();
-    let left = MOST_ASKERS;
-    for (const job of askers) {
+    const onTime = this.ctx.onTime();
+    const shortages = quotaShortages(blocked, onTime, this);
+    if (preemptors.length === 0 && shortages.size === 0) return;
+    this.#collectCandidates(pass);
+    this.#preemptForQuota(shortages, pass);
+    const unsatisfiable = new Set<string>();
+    let tasksLeft = MAX_TASKS_PER_RUN;
+    for (const job of preemptors) {
       const { spec } = job;
       let { pending } = job;
       for (const machine of machines) pending -= machine.reserved.get(job.id)?.tasks ?? 0;
       if (pending <= 0) continue;
-      const together = spec.kind === "gang" ? pending : 1;
-      if (!this.quota.fits(spec, together)) continue;
-      const entitled = guaranteed.has(job.id);
-      const rank = entitled ? spec.rank : rankOf(job, timely);
-      // Asked early only for the sake of those who yield: the others are not concerned yet.
-      const waited = now - job.waitingSince - this.ctx.leaseMs;
-      const early = waited < 0 && now - job.waitingSince < this.ctx.reportMs;
-      const patience = early && prompt ? -1 : Math.max(0, waited);
-      const asker: Preemptor = {
+      const taskCount = spec.kind === "gang" ? pending : 1;
+      if (!this.quota.fits(spec, taskCount)) continue;
+      const withinGuarantee = guaranteed.has(job.id);
+      const rank = withinGuarantee ? spec.rank : rankOf(job, onTime);
+      // Before the lease has passed, a job is here only because preemptible tasks run: no others may
+      // be stopped for it yet.
+      const waitedBeyondLeaseMs = now - job.waitingSince - this.ctx.leaseMs;
+      const early = waitedBeyondLeaseMs < 0 && now - job.waitingSince < this.ctx.reportMs;
+      const lossLimitMs = early && preemptibleRunning ? -1 : Math.max(0, waitedBeyondLeaseMs);
+      const preemptor: Preemptor = {
         team: spec.team,
         rank,
-        size: { cpus: spec.cpus * together, gpus: spec.gpus * together },
-        withinGuarantee: entitled,
+        size: { cpus: spec.cpus * taskCount, gpus: spec.gpus * taskCount },
+        withinGuarantee,
         borrower: this.ctx.isBorrower(spec.team),
-        maxLoss: patience,
-        // Nothing has a loss below zero.
-        maxFairLoss: even && waited >= 0 ? waited / this.ctx.patience : -1,
+        maxLoss: lossLimitMs,
+        // A loss is never negative, so -1 rules out all victims.
+        maxFairLoss:
+          allowFair && waitedBeyondLeaseMs >= 0 ? waitedBeyondLeaseMs / this.ctx.patience : -1,
       };
-      // Another job like it, with the same rights, has just found nothing.
-      const answers = this.ctx.constraints.equivalenceKey(spec);
-      const like =
-        entitled || waited < 0
-          ? `${entitled}/${spec.team}/${rank}/${spec.cpus}/${spec.memGb}/${spec.spot}/${answers ?? job.id}`
+      // If an equivalent job with the same rights found no victims in this run, this one is skipped.
+      const equivalenceKey = this.ctx.constraints.equivalenceKey(spec);
+      const searchKey =
+        withinGuarantee || waitedBeyondLeaseMs < 0
+          ? `${withinGuarantee}/${spec.team}/${rank}/${spec.cpus}/${spec.memGb}/${spec.spot}/${equivalenceKey ?? job.id}`
           : "";
-      if (hopeless.has(like)) continue;
-      for (; pending > 0 && left > 0; pending -= together) {
-        left--;
-        const found =
-          together === 1 ? this.#onOne(job, asker, pass) : this.#onMany(job, asker, pass);
-        if (found === null) {
-          if (like !== "") hopeless.add(like);
+      if (unsatisfiable.has(searchKey)) continue;
+      for (; pending > 0 && tasksLeft > 0; pending -= taskCount) {
+        tasksLeft--;
+        const plan =
+          taskCount === 1
+            ? this.#planOnOneMachine(job, preemptor, pass)
+            : this.#planOnManyMachines(job, preemptor, pass);
+        if (plan === null) {
+          if (searchKey !== "") unsatisfiable.add(searchKey);
           break;
         }
-        for (const { victim, reason } of found.picks) {
+        for (const { victim, reason } of plan.victims) {
           if (reason === "fair" || reason === "greedy") {
-            even = false;
-            asker.maxFairLoss = -1;
-            this.#evenedAt = now;
+            allowFair = false;
+            preemptor.maxFairLoss = -1;
+            this.#lastFairPreemptionAt = now;
           }
-          this.#stop(this.#candidates.get(victim.id)!, reason, job, pass);
+          this.#stopVictim(this.#candidates.get(victim.id)!, reason, job, pass);
         }
-        for (const machine of found.hosts) {
-          addResources(this.#rooms.get(machine)!, spec, -1);
-          const kept = machine.reserved.get(job.id);
-          if (kept !== undefined) kept.tasks++;
+        for (const machine of plan.hosts) {
+          addResources(this.#freeResources.get(machine)!, spec, -1);
+          const reservation = machine.reserved.get(job.id);
+          if (reservation !== undefined) reservation.tasks++;
           else machine.reserved.set(job.id, { tasks: 1, spec, until: now + this.ctx.leaseMs });
         }
-        pass.tree.charge(spec.team, asker.size);
+        pass.tree.charge(spec.team, preemptor.size);
       }
-      if (left === 0) return;
+      if (tasksLeft === 0) return;
     }
   }
 
-  #any(machines: readonly Machine[], of: (spec: JobSpec) => boolean): boolean {
+  #anyRunning(machines: readonly Machine[], predicate: (spec: JobSpec) => boolean): boolean {
     return machines.some((machine) => {
-      for (const { chunk } of machine.allocations.values()) if (of(chunk.spec)) return true;
+      for (const { chunk } of machine.allocations.values()) if (predicate(chunk.spec)) return true;
       return false;
     });
   }
 
-  /** Whether stopping a task gives lent room back and costs only its save. */
-  #givesBack({ team, checkpointS }: JobSpec): boolean {
+  /** Whether stopping a job's task reclaims lent resources and costs no more than its save. */
+  #isLentAndCheckpointed({ team, checkpointS }: JobSpec): boolean {
     return checkpointS > 0 && this.ctx.isBorrower(team);
   }
 
   /**
-   * Where a team's limit is what its jobs wait for, other teams' tasks do not help: tasks of its
-   * own make room, those of lower priority that save when they are stopped. First those that have
-   * not begun, then those that have run longest, whose start has been of use.
+   * Frees quota for jobs that wait because of their team's limit. Stopping other teams' tasks would
+   * not help, so checkpointing tasks of the same team with a lower priority are stopped: first those
+   * that have not started, then those that have run longest, whose start-up cost has paid off.
    */
-  #freeQuota(missing: ReadonlyMap<string, QuotaShortage>, pass: Pass): void {
-    const begun = ({ tasks }: Candidate): number => {
-      const { live } = tasks[0]!;
-      return live.running ? live.since : Number.NEGATIVE_INFINITY;
+  #preemptForQuota(shortages: ReadonlyMap<string, QuotaShortage>, pass: Pass): void {
+    const startedAt = ({ tasks }: Candidate): number => {
+      const { allocation } = tasks[0]!;
+      return allocation.running ? allocation.since : Number.NEGATIVE_INFINITY;
     };
-    for (const [team, { cpus, rank, job }] of missing) {
+    for (const [team, { cpus, rank, job }] of shortages) {
       const victims = [...this.#candidates.values()]
         .filter((c) => c.team === team && c.spec.checkpointS > 0 && c.rank < rank)
-        .sort((a, b) => a.rank - b.rank || begun(a) - begun(b));
+        .sort((a, b) => a.rank - b.rank || startedAt(a) - startedAt(b));
       let left = cpus;
       for (const victim of victims) {
         if (left <= 0) break;
         left -= victim.size.cpus;
-        this.#stop(victim, "priority", job, pass);
+        this.#stopVictim(victim, "priority", job, pass);
       }
     }
   }
 
-  /** CPUs that are lent beyond what teams without a guarantee have in any case. */
-  #beyondFloor({ machines, types }: Pass): number {
-    return lentUse(this) - floorOf(machines, types);
+  /** CPUs lent to teams without a guarantee beyond the minimum that these always keep. */
+  #cpusLentBeyondMinimum({ machines, types }: Pass): number {
+    return lentCpus(this) - borrowerMinimumCpus(machines, types);
   }
 
-  #collect(pass: Pass): void {
+  #collectCandidates(pass: Pass): void {
     const { machines, types, now } = pass;
-    const { policy: rules, index } = this.ctx;
-    let beyond = this.#beyondFloor(pass);
-    this.#rooms = new Map();
+    const { policy, index } = this.ctx;
+    let reclaimableCpus = this.#cpusLentBeyondMinimum(pass);
+    this.#freeResources = new Map();
     this.#candidates = new Map();
-    this.#byMachine = new Map();
+    this.#candidatesByMachine = new Map();
     for (const machine of machines) {
-      const room = { ...machine.freeResources(types.get(machine.type)) };
-      const here: Candidate[] = [];
-      for (const live of machine.allocations.values()) {
-        const { spec } = live.chunk;
-        if (live.stopRequest !== null) {
-          addResources(room, spec, 1);
+      const free = { ...machine.freeResources(types.get(machine.type)) };
+      const onMachine: Candidate[] = [];
+      for (const allocation of machine.allocations.values()) {
+        const { spec } = allocation.chunk;
+        if (allocation.stopRequest !== null) {
+          addResources(free, spec, 1);
           continue;
         }
-        if (live.firstReportedAt === null) continue;
-        const kept =
+        if (allocation.firstReportedAt === null) continue;
+        const maxLossMs =
           spec.checkpointS > 0 ? (spec.saveS + spec.checkpointS) * 1000 : Number.POSITIVE_INFINITY;
-        // Stopping costs more than the work: it has to be started, and its image fetched, anew.
-        const loss = this.ctx.leaseMs + Math.min(now - live.since, kept);
-        const id = spec.kind === "gang" ? live.chunk.job : live.task;
+        // Stopping costs more than the lost work: the task must start again and fetch its image again.
+        const loss = this.ctx.leaseMs + Math.min(now - allocation.since, maxLossMs);
+        const id = spec.kind === "gang" ? allocation.chunk.job : allocation.task;
         let candidate = this.#candidates.get(id);
         if (candidate === undefined) {
           const { team, rank } = spec;
           const size = { cpus: 0, gpus: 0 };
           candidate = { id, team, rank, size, loss: 0, tasks: [], spec };
-          if (rules?.preemptible(team) === true)
-            candidate.preemptionValue = rules.preemptionValue(team, index);
-          if (beyond > 0 && this.#givesBack(spec)) {
+          if (policy?.preemptible(team) === true)
+            candidate.preemptionValue = policy.preemptionValue(team, index);
+          if (reclaimableCpus > 0 && this.#isLentAndCheckpointed(spec)) {
             candidate.lent = true;
-            beyond -= spec.cpus;
+            reclaimableCpus -= spec.cpus;
           }
           this.#candidates.set(id, candidate);
         }
         candidate.size = addAmounts(candidate.size, spec);
         candidate.loss += loss;
-        candidate.tasks.push({ live, machine });
-        if (!here.includes(candidate)) here.push(candidate);
+        candidate.tasks.push({ allocation, machine });
+        if (!onMachine.includes(candidate)) onMachine.push(candidate);
       }
-      this.#rooms.set(machine, withoutReservations(room, machine, null));
-      this.#byMachine.set(machine, here);
+      this.#freeResources.set(machine, withoutReservations(free, machine, null));
+      this.#candidatesByMachine.set(machine, onMachine);
     }
   }
 
   /**
-   * For one task: the machine where the least deserving tasks make room for it. Candidates are
-   * ranked as in KEP-1714, but among those of one machine: the highest-ranked ones of the whole
-   * part are on as many machines, and stopping them makes no room for a large task on any.
+   * For one task: finds the machine on which the cheapest set of victims frees enough for it.
+   * Candidates are ranked as in KEP-1714, but only among those of one machine: the first ones of the
+   * whole part are spread over as many machines, and stopping them would free enough for a large task
+   * on none.
    */
-  #onOne(
+  #planOnOneMachine(
     job: Job,
-    asker: Preemptor,
+    preemptor: Preemptor,
     { tree, machines }: Pass,
-  ): { hosts: Machine[]; picks: SelectedVictim[] } | null {
+  ): { hosts: Machine[]; victims: SelectedVictim[] } | null {
     const { spec } = job;
-    const concerned = new Map<string, boolean>();
-    const concerns = ({
-      team,
-      rank,
-      preemptionValue: yields,
-      lent = false,
-    }: Candidate): boolean => {
-      if (yields !== undefined) return true;
-      if (team === asker.team) return rank < asker.rank;
+    const canPreemptByTeam = new Map<string, boolean>();
+    const canPreempt = ({ team, rank, preemptionValue, lent = false }: Candidate): boolean => {
+      if (preemptionValue !== undefined) return true;
+      if (team === preemptor.team) return rank < preemptor.rank;
       const key = `${lent}/${team}`;
-      let known = concerned.get(key);
-      if (known === undefined) {
-        known = canPreemptFrom(tree, asker, team, lent);
-        concerned.set(key, known);
+      let cached = canPreemptByTeam.get(key);
+      if (cached === undefined) {
+        cached = canPreemptFrom(tree, preemptor, team, lent);
+        canPreemptByTeam.set(key, cached);
       }
-      return known;
+      return cached;
     };
-    let best: { hosts: Machine[]; picks: SelectedVictim[] } | null = null;
+    let best: { hosts: Machine[]; victims: SelectedVictim[] } | null = null;
     let bestCost: number[] = [];
-    const { constraints: places } = this.ctx;
-    // Nothing is stopped for room that the job's requirements, as they will be then, rule out.
-    const takes = (machine: Machine, room: Resources): boolean =>
-      fitsResources(room, spec) &&
-      (spec.match === undefined || places.rank(spec, machine, room) !== null);
+    const { constraints } = this.ctx;
+    // Requirements are evaluated for the resources free after the stops: nothing is stopped on a
+    // machine that the job could not use then.
+    const canStartOn = (machine: Machine, free: Resources): boolean =>
+      fitsResources(free, spec) &&
+      (spec.match === undefined || constraints.rank(spec, machine, free) !== null);
     for (const machine of machines) {
       if (!kindAllowed(spec, machine) || machine.failedJobs.has(job.id)) continue;
-      const room = this.#rooms.get(machine)!;
-      if (takes(machine, room)) return { hosts: [machine], picks: [] };
-      const here = this.#byMachine.get(machine)!.filter(concerns);
-      if (here.length === 0) continue;
-      const after = { ...room };
-      const freed = (victim: Victim, sign: 1 | -1): void => {
+      const free = this.#freeResources.get(machine)!;
+      if (canStartOn(machine, free)) return { hosts: [machine], victims: [] };
+      const candidates = this.#candidatesByMachine.get(machine)!.filter(canPreempt);
+      if (candidates.length === 0) continue;
+      const freeAfter = { ...free };
+      const addFreed = (victim: Victim, sign: 1 | -1): void => {
         for (const task of this.#candidates.get(victim.id)!.tasks) {
-          if (task.machine === machine) addResources(after, task.live.chunk.spec, sign);
+          if (task.machine === machine) addResources(freeAfter, task.allocation.chunk.spec, sign);
         }
       };
-      for (const victim of here) freed(victim, 1);
-      if (!fitsResources(after, spec)) continue;
+      for (const victim of candidates) addFreed(victim, 1);
+      if (!fitsResources(freeAfter, spec)) continue;
       if (
         spec.match !== undefined &&
-        places.equivalenceKey(spec) !== null &&
-        !takes(machine, after)
+        constraints.equivalenceKey(spec) !== null &&
+        !canStartOn(machine, freeAfter)
       )
         continue;
-      const picks = chooseVictims(
+      const victims = chooseVictims(
         tree,
-        asker,
-        here,
+        preemptor,
+        candidates,
         (stopped) => {
-          Object.assign(after, room);
-          for (const id of stopped) freed(this.#candidates.get(id)!, 1);
-          return takes(machine, after);
+          Object.assign(freeAfter, free);
+          for (const id of stopped) addFreed(this.#candidates.get(id)!, 1);
+          return canStartOn(machine, freeAfter);
         },
-        MOST_PICKS,
+        MAX_VICTIMS_PER_TASK,
       );
-      if (picks.length === 0) continue;
-      const cost = this.#cost(picks, tree);
+      if (victims.length === 0) continue;
+      const cost = this.#cost(victims, tree);
       const order = best === null ? -1 : cost.findIndex((value, i) => value !== bestCost[i]);
       if (best === null || (order >= 0 && cost[order]! < bestCost[order]!)) {
-        best = { hosts: [machine], picks };
+        best = { hosts: [machine], victims };
         bestCost = cost;
       }
     }
     return best;
   }
 
-  /** Lower is better: the order of KEP-1714 for what has to be stopped together. */
-  #cost(picks: readonly SelectedVictim[], tree: Pass["tree"]): number[] {
-    const greedy = picks.some(({ reason }) => reason === "greedy") ? 1 : 0;
-    const others = picks.some(({ reason }) => reason !== "yield") ? 1 : 0;
-    const own = picks.some(({ victim }) => victim.lent !== true) ? 1 : 0;
-    const worth = picks.reduce((sum, { victim }) => sum + (victim.preemptionValue ?? 0), 0);
-    const share = Math.min(...picks.map(({ victim }) => tree.share(victim.team)));
-    const rank = Math.max(...picks.map(({ victim }) => victim.rank));
-    const cpus = picks.reduce((sum, { victim }) => sum + victim.size.cpus, 0);
-    const loss = picks.reduce((sum, { victim }) => sum + victim.loss, 0);
-    return [greedy, others, worth, own, -share, rank, cpus, loss];
+  /** Cost of victims that must be stopped together, in the order of KEP-1714; lower is better. */
+  #cost(victims: readonly SelectedVictim[], tree: Pass["tree"]): number[] {
+    const greedy = victims.some(({ reason }) => reason === "greedy") ? 1 : 0;
+    const notYielding = victims.some(({ reason }) => reason !== "yield") ? 1 : 0;
+    const notLent = victims.some(({ victim }) => victim.lent !== true) ? 1 : 0;
+    const preemptionValue = victims.reduce(
+      (sum, { victim }) => sum + (victim.preemptionValue ?? 0),
+      0,
+    );
+    const share = Math.min(...victims.map(({ victim }) => tree.share(victim.team)));
+    const rank = Math.max(...victims.map(({ victim }) => victim.rank));
+    const cpus = victims.reduce((sum, { victim }) => sum + victim.size.cpus, 0);
+    const loss = victims.reduce((sum, { victim }) => sum + victim.loss, 0);
+    return [greedy, notYielding, preemptionValue, notLent, -share, rank, cpus, loss];
   }
 
-  /** For a gang, whose tasks may be on any machines. */
-  #onMany(
+  /** For a gang: finds victims on any machines so that all its waiting tasks fit. */
+  #planOnManyMachines(
     job: Job,
-    asker: Preemptor,
+    preemptor: Preemptor,
     pass: Pass,
-  ): { hosts: Machine[]; picks: SelectedVictim[] } | null {
+  ): { hosts: Machine[]; victims: SelectedVictim[] } | null {
     const { spec } = job;
-    const count = Math.round(asker.size.cpus / Math.max(spec.cpus, 1e-9)) || job.pending;
-    const { constraints: places } = this.ctx;
+    const count = Math.round(preemptor.size.cpus / Math.max(spec.cpus, 1e-9)) || job.pending;
+    const { constraints } = this.ctx;
     const hosts = pass.machines.filter((machine) => kindAllowed(spec, machine));
-    const place = (stopped: ReadonlySet<string>): Machine[] | null => {
-      const freed = new Map<Machine, Resources>();
-      const roomOf = (machine: Machine): Resources => {
-        let room = freed.get(machine);
-        if (room === undefined) {
-          room = { ...this.#rooms.get(machine)! };
-          freed.set(machine, room);
+    const tryPlace = (stopped: ReadonlySet<string>): Machine[] | null => {
+      const freeAfter = new Map<Machine, Resources>();
+      const freeOn = (machine: Machine): Resources => {
+        let free = freeAfter.get(machine);
+        if (free === undefined) {
+          free = { ...this.#freeResources.get(machine)! };
+          freeAfter.set(machine, free);
         }
-        return room;
+        return free;
       };
       for (const id of stopped) {
         const candidate = this.#candidates.get(id)!;
-        for (const { machine } of candidate.tasks) addResources(roomOf(machine), candidate.spec, 1);
+        for (const { machine } of candidate.tasks) addResources(freeOn(machine), candidate.spec, 1);
       }
       const chosen: Machine[] = [];
       for (const machine of hosts) {
         while (
           chosen.length < count &&
-          fitsResources(roomOf(machine), spec) &&
-          (spec.match === undefined || places.rank(spec, machine, roomOf(machine)) !== null)
+          fitsResources(freeOn(machine), spec) &&
+          (spec.match === undefined || constraints.rank(spec, machine, freeOn(machine)) !== null)
         ) {
-          addResources(roomOf(machine), spec, -1);
+          addResources(freeOn(machine), spec, -1);
           chosen.push(machine);
         }
         if (chosen.length === count) return chosen;
       }
       return null;
     };
-    const picks = chooseVictims(
+    const victims = chooseVictims(
       pass.tree,
-      asker,
+      preemptor,
       [...this.#candidates.values()],
-      (stopped) => place(stopped) !== null,
-      MOST_PICKS,
+      (stopped) => tryPlace(stopped) !== null,
+      MAX_VICTIMS_PER_TASK,
     );
-    const chosen = place(new Set(picks.map(({ victim }) => victim.id)));
-    return chosen === null ? null : { hosts: chosen, picks };
+    const chosen = tryPlace(new Set(victims.map(({ victim }) => victim.id)));
+    return chosen === null ? null : { hosts: chosen, victims };
   }
 
-  /** Stops for a job of this part, or for one of the same team elsewhere. */
-  #stop(
+  /** Stops a candidate's tasks, for a job of this part or (null) for the same team elsewhere. */
+  #stopVictim(
     candidate: Candidate,
     reason: SelectedVictim["reason"],
     job: Job | null,
@@ -373,19 +380,19 @@
   ): void {
     const { id, spec, team, size, tasks } = candidate;
     this.#candidates.delete(id);
-    // Nobody's task queues behind the save of one that yields.
+    // A preemptible task gets no time to save: nothing waits for that.
     const saves = spec.checkpointS > 0 && reason !== "yield";
-    const grace = saves ? spec.saveS + this.ctx.reportMs / 1000 : 0;
-    for (const { live, machine } of tasks) {
-      this.workers.stop(live, grace, reason);
-      addResources(this.#rooms.get(machine)!, spec, 1);
-      const here = this.#byMachine.get(machine)!;
-      const at = here.indexOf(candidate);
-      if (at >= 0) here.splice(at, 1);
+    const graceS = saves ? spec.saveS + this.ctx.reportMs / 1000 : 0;
+    for (const { allocation, machine } of tasks) {
+      this.workers.stop(allocation, graceS, reason);
+      addResources(this.#freeResources.get(machine)!, spec, 1);
+      const onMachine = this.#candidatesByMachine.get(machine)!;
+      const position = onMachine.indexOf(candidate);
+      if (position >= 0) onMachine.splice(position, 1);
     }
     tree.charge(team, size, -1);
-    const asker = job?.spec.team ?? team;
-    this.ctx.metrics.add({ kind: "preempted", team, by: asker, reason });
-    this.ctx.log.info({ task: id, team, for: job?.id, asker, reason }, "task preempted");
+    const preemptorTeam = job?.spec.team ?? team;
+    this.ctx.metrics.add({ kind: "preempted", team, by: preemptorTeam, reason });
+    this.ctx.log.info({ task: id, team, for: job?.id, preemptorTeam, reason }, "task preempted");
   }
 }
--- a/src/part/quota.ts
+++ b/src/part/quota.ts
@@ -19,37 +19,38 @@
 import { isUsable } from "./usable-machine.js";
 
 /**
- * What tasks of a part use is lowered for others once its slice is this much above the fair one.
- * Shares of demand change all the time; following them closely, every part gave up in one commit
- * what it took in the next, and a tenth of the limits was in nobody's hands. What nobody uses
- * (`UnusedSlices`) is given up whatever the fair slice is.
+ * A slice whose quota tasks use is lowered for other parts only when it exceeds the fair slice by this
+ * factor. Shares of demand change all the time: when slices followed them closely, every part gave up
+ * in one commit what it took in the next, and a tenth of the limits was in no part's slice. Unused
+ * quota (`UnusedSlices`) is given up whatever the fair slice is.
  */
-const SLACK = 1.1;
+const SLICE_SLACK = 1.1;
 
-/** What neither runs nor waits here is given to a part that is short after this many leases. */
+/** Leases after which quota that no task here runs on or waits for goes to a part that lacks some. */
 const UNUSED_LEASES = 0.25;
-/** So is what waiting tasks would need, when it stays unused: they wait for machines. */
-const WAITING_LEASES = 2;
+/** Leases after which unused quota goes although tasks here wait: they wait for machines. */
+const UNUSED_WHILE_WAITING_LEASES = 2;
 
-/** A part's view of what it should hold of one team's limit. */
+/** What this part should hold of one team's limit, as it sees it. */
 interface FairSlice {
-  /** Raised to this while tasks wait for quota, lowered to it from above `most`. */
-  low: Amounts;
-  most: Amounts;
-  /** Unused for a while: not needed, and whatever waits here for machines. */
+  /** The slice is raised to this while tasks wait for quota, lowered to it from above `upperBound`. */
+  lowerBound: Amounts;
+  upperBound: Amounts;
+  /** Unused for a while: for the short period (`surplus`), and for the long one (`idle`). */
   spare: { surplus: Amounts; idle: Amounts };
-  /** CPUs of the largest task that waits here; 1 where none does. */
-  step: number;
-  /** Whether another part is short. */
-  elsewhere: boolean;
-  /** The slices add up to more than the limit, since it was lowered: nothing starts. */
-  over: boolean;
+  /** CPUs of the largest task that waits here; 1 when none waits. */
+  taskCpus: number;
+  /** Whether another part lacks quota of the team. */
+  shortElsewhere: boolean;
+  /** The limit was lowered and the slices add up to more than it: no task starts. */
+  overLimit: boolean;
+  /** Demand in this part, and competing demand of the others (see `begin`). */
   own: Demand;
-  rest: Demand;
-  ahead: number;
+  other: Demand;
+  attainableCpus: number;
 }
 
-/** One slice that is to be changed. */
+/** A change to this part's slice of one team's limit. */
 export interface SliceChange {
   team: string;
   key: string;
@@ -57,48 +58,53 @@
   record: SliceRecord;
 }
 
-/** This part's slices of the teams' limits, and how far its tasks fit into them. */
+/** This part's slices of the teams' limits, and whether tasks fit into them. */
 export class Quota {
-  /** Committed slices; what a lowering in flight gives up is no longer counted. */
+  /** Committed slices, without what a lowering that is being committed gives up. */
   readonly #slices = new Map<string, Amounts>();
-  readonly #fair = new Map<string, FairSlice>();
+  readonly #fairSlices = new Map<string, FairSlice>();
   readonly #surplus: UnusedSlices;
   readonly #idle: UnusedSlices;
-  /** By team, until when its tasks here that find no machine ask for no quota. */
-  readonly #givenUntil = new Map<string, number>();
-  /** Shapes of such tasks that found no machine in this pass. */
-  readonly #roomless = new Set<string>();
-  /** By team: what its record was when it was last read, and what was in it. */
-  readonly #read = new Map<string, { value: unknown; record: SliceRecord }>();
-  /** Teams that could not place a task for want of quota, in the last pass. */
-  readonly short = new Map<string, Amounts>();
+  /** By team, the time until which its tasks that find no machine here request no quota. */
+  readonly #noRequestUntil = new Map<string, number>();
+  /** Shapes of such tasks for which no machine was found in this pass. */
+  readonly #shapesWithoutMachine = new Set<string>();
+  /** By team: the stored record when it was last parsed, and the result. */
+  readonly #readCache = new Map<string, { value: unknown; record: SliceRecord }>();
+  /** What teams lacked that could not place a task for lack of quota, in the last pass. */
+  readonly shortages = new Map<string, Amounts>();
 
   constructor(
     readonly ctx: PartContext,
     readonly ledger: Ledger,
   ) {
     this.#surplus = new UnusedSlices(ctx.clock, ctx.leaseMs * UNUSED_LEASES);
-    this.#idle = new UnusedSlices(ctx.clock, ctx.leaseMs * WAITING_LEASES);
+    this.#idle = new UnusedSlices(ctx.clock, ctx.leaseMs * UNUSED_WHILE_WAITING_LEASES);
     for (const [team, limit] of ctx.limits) {
-      this.#slices.set(team, held(this.#known(team).own, limit));
+      this.#slices.set(team, usableSlice(this.#read(team).own, limit));
     }
   }
 
-  /** `own` is null where this part's slice cannot be read: then it is what its tasks use. */
-  #known(team: string): { key: string; version: number; record: SliceRecord; own: Amounts | null } {
+  /** `own` is null where this part's slice is unreadable: it is then set to what its tasks use. */
+  #read(team: string): {
+    key: string;
+    version: number;
+    record: SliceRecord;
+    own: Amounts | null;
+  } {
     const key = keys.quota(team);
     const row = this.ctx.mirror.rows.get(key);
     const version = row?.version ?? 0;
     if (row === undefined) return { key, version, record: {}, own: ZERO };
-    // The rule, as long as the row stays: it is asked for with every pass.
-    let known = this.#read.get(team);
+    // Parsed only when the row has changed: this is called in every pass.
+    let known = this.#readCache.get(team);
     if (known === undefined || known.value !== row.value) {
       known = { value: row.value, record: readSlices(row.value, this.ctx.parts) };
-      this.#read.set(team, known);
+      this.#readCache.set(team, known);
       if (!isSliceRecord(row.value)) {
         this.ctx.log.error(
           { key, parts: Object.keys(known.record).filter((part) => known?.record[part] === null) },
-          "slices that cannot be read: nobody's grow until the owners of these parts have said theirs",
+          "unreadable quota slices: no part's slice grows until the owners of these parts have rewritten theirs",
         );
       }
     }
@@ -106,226 +112,230 @@
   }
 
   /**
-   * Before a pass: nothing is short yet, and what other parts should get is left to them. A part that is
-   * not short of quota counts with what it uses: what waits there waits for machines. Without this the
-   * demand of a job for which there was no machine kept its team's limit from all parts that had some,
-   * for as long as it waited.
+   * To be called before each pass: clears the shortages and computes the fair slices. A part that does
+   * not lack quota counts with its use only, since its waiting tasks wait for machines. Otherwise the
+   * demand of a job for which there is no machine would withhold its team's limit from all parts that
+   * have machines, for as long as it waits.
    */
   begin(): void {
-    this.short.clear();
-    this.#fair.clear();
-    this.#roomless.clear();
+    this.shortages.clear();
+    this.#fairSlices.clear();
+    this.#shapesWithoutMachine.clear();
     const { index, limits, parts, summaries } = this.ctx;
-    const mine = this.ledger.demand();
-    const others = new Map<string, Demand>();
-    const pressing = new Map<string, Demand>();
-    const elsewhere = new Set<string>();
+    const demandHere = this.ledger.demand();
+    const demandElsewhere = new Map<string, Demand>();
+    const competingDemand = new Map<string, Demand>();
+    const teamsShortElsewhere = new Set<string>();
     for (const [part, { demand, short, use }] of summaries.all()) {
       if (part === index) continue;
       for (const { team, rank, cpus, gpus } of demand) {
-        count(others, team, rank, cpus, gpus);
-        if (team in short) count(pressing, team, rank, cpus, gpus);
+        addDemand(demandElsewhere, team, rank, cpus, gpus);
+        if (team in short) addDemand(competingDemand, team, rank, cpus, gpus);
       }
       for (const [team, [cpus, gpus]] of Object.entries(use)) {
-        // Of the highest priority, since nothing is to be stopped for it that it does not need.
-        if (!(team in short)) count(pressing, team, PRIORITIES.length - 1, cpus, gpus);
+        // Use counts at the highest priority: no part is to stop tasks for quota it does not need.
+        if (!(team in short)) addDemand(competingDemand, team, PRIORITIES.length - 1, cpus, gpus);
       }
-      for (const team of Object.keys(short)) elsewhere.add(team);
+      for (const team of Object.keys(short)) teamsShortElsewhere.add(team);
     }
     for (const [team, limit] of limits) {
-      const own = mine.get(team) ?? noDemand();
-      const rest = pressing.get(team) ?? noDemand();
-      const slice = {
-        cpus: targetSlice(limit.cpus, own.cpus, rest.cpus, parts),
-        gpus: targetSlice(limit.gpus, own.gpus, rest.gpus, parts),
+      const own = demandHere.get(team) ?? noDemand();
+      const other = competingDemand.get(team) ?? noDemand();
+      const fairSlice = {
+        cpus: targetSlice(limit.cpus, own.cpus, other.cpus, parts),
+        gpus: targetSlice(limit.gpus, own.gpus, other.gpus, parts),
       };
-      const holding = this.#slices.get(team) ?? ZERO;
+      const heldSlice = this.#slices.get(team) ?? ZERO;
       const use = this.ledger.use.get(team) ?? ZERO;
-      const all = others.get(team) ?? noDemand();
-      // A slice that ends in the middle of a task would leave the rest of it unused.
-      const step = own.largest > 0 ? own.largest : 1;
-      this.#fair.set(team, {
-        low: { ...slice, cpus: Math.floor(slice.cpus / step) * step },
-        most: {
-          cpus: Math.ceil((slice.cpus * SLACK) / step) * step,
-          gpus: Math.ceil(slice.gpus * SLACK),
+      const elsewhere = demandElsewhere.get(team) ?? noDemand();
+      // Slices are multiples of a task's size: a remainder smaller than a task would stay unused.
+      const taskCpus = own.largest > 0 ? own.largest : 1;
+      this.#fairSlices.set(team, {
+        lowerBound: { ...fairSlice, cpus: Math.floor(fairSlice.cpus / taskCpus) * taskCpus },
+        upperBound: {
+          cpus: Math.ceil((fairSlice.cpus * SLICE_SLACK) / taskCpus) * taskCpus,
+          gpus: Math.ceil(fairSlice.gpus * SLICE_SLACK),
         },
-        step,
+        taskCpus,
         spare: {
-          surplus: this.#surplus.observe(team, holding, use),
-          idle: this.#idle.observe(team, holding, use),
+          surplus: this.#surplus.observe(team, heldSlice, use),
+          idle: this.#idle.observe(team, heldSlice, use),
         },
-        elsewhere: elsewhere.has(team),
-        over: this.#over(team, limit),
+        shortElsewhere: teamsShortElsewhere.has(team),
+        overLimit: this.#isOverLimit(team, limit),
         own,
-        rest,
-        ahead:
-          Math.ceil((targetSlice(limit.cpus, own.cpus, all.cpus, parts) * SLACK) / step) * step,
+        other,
+        attainableCpus:
+          Math.ceil(
+            (targetSlice(limit.cpus, own.cpus, elsewhere.cpus, parts) * SLICE_SLACK) / taskCpus,
+          ) * taskCpus,
       });
     }
   }
 
   /**
-   * CPUs that tasks up to a priority use here while other parts' tasks of higher ones are short of
-   * them.
+   * CPUs used here beyond the slice that demand above a priority in other parts leaves to this one; 0
+   * unless another part lacks quota.
    */
-  excess(team: string, rank: number): number {
-    const fair = this.#fair.get(team);
+  excessCpus(team: string, rank: number): number {
+    const fair = this.#fairSlices.get(team);
     const limit = this.ctx.limits.get(team);
-    if (fair === undefined || limit === undefined || !fair.elsewhere) return 0;
-    const higher = fair.rest.cpus.map((cpus, i) => (i > rank ? cpus : 0));
-    const most = targetSlice(limit.cpus, fair.own.cpus, higher, this.ctx.parts);
-    return (this.ledger.use.get(team) ?? ZERO).cpus - Math.ceil(most);
+    if (fair === undefined || limit === undefined || !fair.shortElsewhere) return 0;
+    const higher = fair.other.cpus.map((cpus, i) => (i > rank ? cpus : 0));
+    const fairCpus = targetSlice(limit.cpus, fair.own.cpus, higher, this.ctx.parts);
+    return (this.ledger.use.get(team) ?? ZERO).cpus - Math.ceil(fairCpus);
   }
 
   /**
-   * CPUs that a team's tasks here may come to use beyond what they do, as far as its limit goes: the
-   * part's fair slice, or what it has now if that is more.
+   * CPUs by which a team's use here may grow within its limit: up to the part's fair slice, or up to
+   * its present slice if that is larger.
    */
-  ahead(team: string): number {
-    const fair = this.#fair.get(team);
+  attainableCpus(team: string): number {
+    const fair = this.#fairSlices.get(team);
     const use = (this.ledger.use.get(team) ?? ZERO).cpus;
     const slice = this.#slices.get(team)?.cpus ?? Number.POSITIVE_INFINITY;
-    return Math.max(0, Math.max(slice, fair?.ahead ?? 0) - use);
+    return Math.max(0, Math.max(slice, fair?.attainableCpus ?? 0) - use);
   }
 
-  /** CPUs of a team's slice that its tasks here do not use. */
-  left(team: string): number {
-    if (this.#fair.get(team)?.over === true) return 0;
+  /** CPUs of a team's slice that its tasks here do not use; 0 while the slices exceed the limit. */
+  unusedCpus(team: string): number {
+    if (this.#fairSlices.get(team)?.overLimit === true) return 0;
     const slice = this.#slices.get(team) ?? ZERO;
     return Math.max(0, slice.cpus - (this.ledger.use.get(team) ?? ZERO).cpus);
   }
 
   fits(spec: JobSpec, tasks = 1): boolean {
-    const size = { cpus: spec.cpus * tasks, gpus: spec.gpus * tasks };
-    const use = addAmounts(this.ledger.use.get(spec.team) ?? ZERO, size);
-    // An allowance is this part's alone, so it needs no slice.
+    const requested = { cpus: spec.cpus * tasks, gpus: spec.gpus * tasks };
+    const use = addAmounts(this.ledger.use.get(spec.team) ?? ZERO, requested);
+    // An allowance applies to this part alone, so no slice is needed.
     const allowance = this.ctx.policy?.allowance(spec.team, this.ctx.index);
     if (allowance != null) return fitsWithin(use, allowance.startLimit);
     const slice = this.#slices.get(spec.team) ?? ZERO;
-    const fair = this.#fair.get(spec.team);
-    // Nobody is short of what there is not: nothing is stopped to make room under a lowered limit.
-    if (fair?.over === true) return false;
-    // Else what ends here would be replaced before the slice is lowered, again and again.
-    const most = fair?.elsewhere === true ? minAmounts(slice, fair.most) : slice;
-    if (fitsWithin(use, most)) return true;
-    if (!this.short.has(spec.team) && !this.#waitsForMachines(spec)) {
+    const fair = this.#fairSlices.get(spec.team);
+    // No shortage is recorded under a lowered limit: stopping tasks would free no quota for others.
+    if (fair?.overLimit === true) return false;
+    // Otherwise each task that ends here would be replaced before the slice can be lowered.
+    const usable = fair?.shortElsewhere === true ? minAmounts(slice, fair.upperBound) : slice;
+    if (fitsWithin(use, usable)) return true;
+    if (!this.shortages.has(spec.team) && !this.#waitsForMachines(spec)) {
       const { cpus, gpus } = subtractAmounts(use, slice);
-      this.short.set(spec.team, { cpus: Math.max(0, cpus), gpus: Math.max(0, gpus) });
+      this.shortages.set(spec.team, { cpus: Math.max(0, cpus), gpus: Math.max(0, gpus) });
     }
     return false;
   }
 
   /**
-   * Whether a team's tasks here still wait for machines, after the part gave up what they did not
-   * use: else it would be short of that at once, and take it back before the other part had it.
+   * Whether a team's tasks here still wait for machines after the part gave up the quota that they did
+   * not use. Otherwise the part would lack it at once and take it back before the other part had it.
    */
   #waitsForMachines(spec: JobSpec): boolean {
     const { ctx, ledger } = this;
-    const until = this.#givenUntil.get(spec.team);
+    const until = this.#noRequestUntil.get(spec.team);
     if (until === undefined) return false;
     const shape = `${spec.team}/${spec.cpus}/${spec.gpus}/${spec.memGb}`;
-    if (this.#roomless.has(shape)) return true;
+    if (this.#shapesWithoutMachine.has(shape)) return true;
     const fits = (machine: Machine): boolean =>
       isUsable(machine, ctx) && fitsResources(machine.freeResourcesIn(ctx.types()), spec);
     if (ctx.clock.now() < until && ![...ledger.machines.values()].some(fits)) {
-      this.#roomless.add(shape);
+      this.#shapesWithoutMachine.add(shape);
       return true;
     }
-    this.#givenUntil.delete(spec.team);
+    this.#noRequestUntil.delete(spec.team);
     return false;
   }
 
   /**
-   * The slices that should change, the smaller of both values being all that counts from now on,
-   * until it is known which of them is in the store. Lowered only when another part is short.
+   * The slices that should change. From now on only the smaller of the old and the new value counts,
+   * until it is known which one is stored. A slice is lowered only when another part lacks quota.
    */
   changes(): SliceChange[] {
     const changes: SliceChange[] = [];
     for (const [team, limit] of this.ctx.limits) {
       if (!isLimited(limit.cpus) && !isLimited(limit.gpus)) continue;
-      const { key, version, record, own } = this.#known(team);
-      const fair = this.#fair.get(team);
-      const short = this.short.get(team) ?? null;
+      const { key, version, record, own } = this.#read(team);
+      const fair = this.#fairSlices.get(team);
+      const shortage = this.shortages.get(team) ?? null;
       const use = this.ledger.use.get(team) ?? ZERO;
       let wanted = own ?? use;
-      if (own !== null && fair !== undefined && (short !== null || fair.elsewhere)) {
+      if (own !== null && fair !== undefined && (shortage !== null || fair.shortElsewhere)) {
         const free = unassignedAmounts(record, limit);
-        const one = (resource: keyof Amounts): number =>
-          wish(
+        const desired = (resource: keyof Amounts): number =>
+          desiredSlice(
             {
               own: own[resource],
               use: use[resource],
-              low: fair.low[resource],
-              most: fair.most[resource],
-              spare: spareOf(fair, own[resource], limit[resource], resource),
+              lowerBound: fair.lowerBound[resource],
+              upperBound: fair.upperBound[resource],
+              spare: reclaimable(fair, own[resource], limit[resource], resource),
             },
             free[resource],
-            short?.[resource],
-            fair.elsewhere,
+            shortage?.[resource],
+            fair.shortElsewhere,
           );
-        wanted = { cpus: one("cpus"), gpus: one("gpus") };
+        wanted = { cpus: desired("cpus"), gpus: desired("gpus") };
         const { idle } = fair.spare;
         if (
           (idle.cpus > EPSILON && wanted.cpus < own.cpus) ||
           (idle.gpus > EPSILON && wanted.gpus < own.gpus)
         ) {
-          this.#givenUntil.set(team, this.ctx.clock.now() + this.#idle.windowMs);
+          this.#noRequestUntil.set(team, this.ctx.clock.now() + this.#idle.windowMs);
         }
       }
       if (own !== null) wanted = this.#bounded(wanted, own, use, unassignedAmounts(record, limit));
       const next = resizeSlice(record, this.ctx.index, wanted, limit);
       const after = sliceOf(next, this.ctx.index) ?? ZERO;
-      // Until the answer is known, only what is ours in either case counts.
-      this.#slices.set(team, held(minAmounts(own ?? ZERO, after), limit));
-      const same =
+      // Until the commit result is known, only what this part holds in either case counts.
+      this.#slices.set(team, usableSlice(minAmounts(own ?? ZERO, after), limit));
+      const unchanged =
         own !== null &&
         Math.abs(after.cpus - own.cpus) < EPSILON &&
         Math.abs(after.gpus - own.gpus) < EPSILON;
-      if (!same) changes.push({ team, key, version, record: next });
+      if (!unchanged) changes.push({ team, key, version, record: next });
     }
     return changes;
   }
 
   /**
-   * The slice to ask for while a limit moves: what is beyond a lowered limit goes as far as tasks do
-   * not use it, and nothing grows by a revision that is not the newest.
+   * Bounds the desired slice while a limit changes: unused quota beyond a lowered limit is given up,
+   * and no slice grows under a configuration revision that is not the newest.
    */
   #bounded(wanted: Amounts, own: Amounts, use: Amounts, free: Amounts): Amounts {
-    const one = (resource: keyof Amounts): number => {
-      const lack = free[resource];
-      if (lack < -EPSILON && this.ctx.configuration.revised)
-        return Math.min(own[resource], Math.max(use[resource], own[resource] + lack));
+    const bound = (resource: keyof Amounts): number => {
+      const unassigned = free[resource];
+      if (unassigned < -EPSILON && this.ctx.configuration.revised)
+        return Math.min(own[resource], Math.max(use[resource], own[resource] + unassigned));
       return this.ctx.configuration.current
         ? wanted[resource]
         : Math.min(wanted[resource], own[resource]);
     };
-    return { cpus: one("cpus"), gpus: one("gpus") };
+    return { cpus: bound("cpus"), gpus: bound("gpus") };
   }
 
   /** Teams whose slices add up to more than their limit. */
   beyond(): ReadonlySet<string> {
     const teams = new Set<string>();
     if (!this.ctx.configuration.revised) return teams;
-    for (const [team, limit] of this.ctx.limits) if (this.#over(team, limit)) teams.add(team);
+    for (const [team, limit] of this.ctx.limits)
+      if (this.#isOverLimit(team, limit)) teams.add(team);
     return teams;
   }
 
-  /** Limits that nobody changes while serving are never below the slices. */
-  #over(team: string, limit: Amounts): boolean {
+  /** Whether the slices exceed the limit: only possible when limits have been revised while serving. */
+  #isOverLimit(team: string, limit: Amounts): boolean {
     if (!this.ctx.configuration.revised) return false;
-    const { cpus, gpus } = unassignedAmounts(this.#known(team).record, limit);
+    const { cpus, gpus } = unassignedAmounts(this.#read(team).record, limit);
     return cpus < -EPSILON || gpus < -EPSILON;
   }
 
   committed({ team, record }: SliceChange): void {
     const limit = this.ctx.limits.get(team);
-    if (limit !== undefined) this.#slices.set(team, held(sliceOf(record, this.ctx.index), limit));
+    if (limit !== undefined)
+      this.#slices.set(team, usableSlice(sliceOf(record, this.ctx.index), limit));
   }
 }
 
-/** Adds to what a team asks for; a priority that only a later program knows is left out. */
-function count(
+/** Adds to a team's demand; a priority that only a later build knows is ignored. */
+function addDemand(
   sums: Map<string, Demand>,
   team: string,
   rank: number,
@@ -339,50 +349,50 @@
   sum.gpus[rank]! += gpus;
 }
 
-/** What tasks may use by a slice: of a resource without a limit, any amount. */
-const held = (slice: Amounts | null, limit: Amounts): Amounts => ({
+/** What a slice lets tasks use: any amount of a resource without a limit. */
+const usableSlice = (slice: Amounts | null, limit: Amounts): Amounts => ({
   cpus: isLimited(limit.cpus) ? (slice?.cpus ?? 0) : NO_LIMIT,
   gpus: isLimited(limit.gpus) ? (slice?.gpus ?? 0) : NO_LIMIT,
 });
 
-/** What a part can give up of one resource without stopping anything. */
-function spareOf(
-  { spare, own, rest, step }: FairSlice,
+/** How much of one resource a part can give up without stopping anything. */
+function reclaimable(
+  { spare, own, other, taskCpus }: FairSlice,
   slice: number,
   limit: number,
   resource: keyof Amounts,
 ): number {
   const surplus = spare.surplus[resource];
   if (surplus <= EPSILON) return spare.idle[resource];
-  // What the tasks here that run and wait would need of the limit: nothing of what is left over.
-  const share = targetSlice(limit, own[resource], rest[resource], Number.POSITIVE_INFINITY);
-  const needed = resource === "cpus" ? Math.floor(share / step) * step : share;
+  // What the running and waiting tasks here need of the limit, without a share of what is left over.
+  const share = targetSlice(limit, own[resource], other[resource], Number.POSITIVE_INFINITY);
+  const needed = resource === "cpus" ? Math.floor(share / taskCpus) * taskCpus : share;
   return Math.max(spare.idle[resource], Math.min(surplus, Math.max(0, slice - needed)));
 }
 
-/** One resource of a slice: what it is, what of it is used and spare, and its fair bounds. */
+/** One resource of a slice: its present value, what of it is used and spare, and its fair bounds. */
 interface SliceState {
   own: number;
   use: number;
-  low: number;
-  most: number;
+  lowerBound: number;
+  upperBound: number;
   spare: number;
 }
 
-/** The slice to ask for, in one resource; `missing` for the next task, if anything is. */
-function wish(
-  { own, use, low, most, spare }: SliceState,
+/** The slice that this part should have of one resource; `shortage`: what the next task lacks. */
+function desiredSlice(
+  { own, use, lowerBound, upperBound, spare }: SliceState,
   free: number,
-  missing: number | undefined,
-  elsewhere: boolean,
+  shortage: number | undefined,
+  shortElsewhere: boolean,
 ): number {
-  if (elsewhere && own > most) return Math.max(use, low);
-  if (missing !== undefined && free + EPSILON >= missing && free > EPSILON) {
-    // Beyond its fair slice a part takes only what holds another task.
-    const more = own + missing;
-    return Math.max(own, low, elsewhere ? Math.min(more, most) : more);
+  if (shortElsewhere && own > upperBound) return Math.max(use, lowerBound);
+  if (shortage !== undefined && free + EPSILON >= shortage && free > EPSILON) {
+    // Beyond its fair slice, a part takes only enough for one more task.
+    const grown = own + shortage;
+    return Math.max(own, lowerBound, shortElsewhere ? Math.min(grown, upperBound) : grown);
   }
-  if (missing !== undefined && free > EPSILON && low > own) return low;
-  if (elsewhere && spare > EPSILON) return Math.max(use, own - spare);
+  if (shortage !== undefined && free > EPSILON && lowerBound > own) return lowerBound;
+  if (shortElsewhere && spare > EPSILON) return Math.max(use, own - spare);
   return own;
 }
--- a/src/part/rebalancing.ts
+++ b/src/part/rebalancing.ts
@@ -7,8 +7,8 @@
 import type { Pass } from "./placement.js";
 import { type KindCapacity, type Summary, totalCapacity } from "./summary.js";
 
-/** Room by kind of machine, as others see it. */
-export function kindsOf(
+/** Capacity and free CPUs by kind of machine, as published to other parts. */
+export function capacityByKind(
   machines: Iterable<Machine>,
   types: ReadonlyMap<string, MachineType>,
 ): KindCapacity[] {
@@ -23,8 +23,8 @@
       kind = { type: machine.type, zone, spot, capacity: 0, free: 0, most: 0 };
       kinds.set(key, kind);
     }
-    const room = withoutReservations(machine.freeResources(type), machine, null);
-    const free = Math.max(0, room.cpus);
+    const available = withoutReservations(machine.freeResources(type), machine, null);
+    const free = Math.max(0, available.cpus);
     kind.capacity += type.cpus;
     kind.free += free;
     kind.most = Math.max(kind.most, free);
@@ -32,34 +32,34 @@
   return [...kinds.values()];
 }
 
-const NOWHERE = { capacity: 0, free: 0, most: 0 };
+const NO_CAPACITY = { capacity: 0, free: 0, most: 0 };
 
-interface Other {
+interface OtherPart {
   part: number;
   kinds: KindCapacity[];
   waiting: number;
   sent: { cpus: number };
 }
 
-/** Hands waiting chunks on to other parts. */
+/** Hands waiting chunks over to other parts. */
 export class Rebalancing {
-  /** CPUs of chunks given to other parts since their last summary. */
+  /** By part, CPUs of the chunks handed over to it since its last summary. */
   readonly #sent = new Map<number, { summary: Summary; cpus: number }>();
 
   constructor(readonly ctx: PartContext) {}
 
-  /** Whether a job may use anything in a part: of teams with allowances, only where they have one. */
-  #granted({ spec }: Job): (part: number) => boolean {
-    const { policy: rules } = this.ctx;
-    if (rules === null) return () => true;
+  /** Whether a job may run in a part: jobs of teams with allowances only where these allow a task. */
+  #allowanceFilter({ spec }: Job): (part: number) => boolean {
+    const { policy } = this.ctx;
+    if (policy === null) return () => true;
     return (part) => {
-      const allowance = rules.allowance(spec.team, part);
+      const allowance = policy.allowance(spec.team, part);
       return allowance === null || fitsWithin(spec, allowance.startLimit);
     };
   }
 
-  #others(): Other[] {
-    const others: Other[] = [];
+  #others(): OtherPart[] {
+    const others: OtherPart[] = [];
     for (const [part, summary] of this.ctx.summaries.all()) {
       if (part === this.ctx.index || this.ctx.ownerSuspected(part)) continue;
       let sent = this.#sent.get(part);
@@ -73,65 +73,72 @@
   }
 
   /**
-   * Hands chunks that find no room here to parts that have some, or that are less pressed. Only
-   * machines that the job may use count: chunks of a job for ordinary machines once travelled for
-   * minutes between parts that had nothing but spot machines free. Says whether any is handed on.
+   * Selects chunks that find no free resources here for handover to parts that have some or whose
+   * load is lower. Only machines that the job may use count: chunks of a job for on-demand machines
+   * were once handed back and forth for minutes between parts that had only spot machines free.
+   * Returns whether any chunk is to be handed over.
    */
   run(blocked: readonly Job[], { machines, types, now }: Pass, waitingCpus: number): boolean {
-    let moves = false;
-    const own = kindsOf(machines, types);
+    let anyHandedOver = false;
+    const ownKinds = capacityByKind(machines, types);
     const others = this.#others();
     let waiting = waitingCpus;
     for (const job of blocked) {
       const { spec } = job;
       const allowedParts = spec.zone === null ? null : this.ctx.partsOf(spec.zone);
-      const pinned = requiresSinglePart(spec);
-      const idle = [...job.chunks.values()].filter(
+      const singlePart = requiresSinglePart(spec);
+      const waitingChunks = [...job.chunks.values()].filter(
         (chunk) => chunk.allocations.size === 0 && chunk.pending > 0 && chunk.movingTo === null,
       );
-      if (idle.length === 0 || (pinned && idle.length < job.chunks.size)) continue;
-      const usable = (kind: KindCapacity): boolean => this.ctx.constraints.allows(spec, kind);
-      const granted = this.#granted(job);
-      const here = granted(this.ctx.index) ? totalCapacity(own, usable) : NOWHERE;
-      // A job that keeps failing finds no machine here that has not failed it yet, and would find
-      // none elsewhere: it once travelled to and fro 146 times, each time counting its failures anew.
+      if (waitingChunks.length === 0 || (singlePart && waitingChunks.length < job.chunks.size))
+        continue;
+      const isAllowedKind = (kind: KindCapacity): boolean =>
+        this.ctx.constraints.allows(spec, kind);
+      const mayRunIn = this.#allowanceFilter(job);
+      const here = mayRunIn(this.ctx.index) ? totalCapacity(ownKinds, isAllowedKind) : NO_CAPACITY;
+      // A job that fails repeatedly has failed on all machines here and would fail elsewhere as well:
+      // one was handed back and forth 146 times, and its failures were counted from zero each time.
       if (job.failures > 0 && here.capacity > 0) continue;
-      const rooms = others
+      const candidates = others
         .filter(({ part }) => allowedParts === null || allowedParts.includes(part))
-        .filter(({ part }) => granted(part))
-        .map((other) => ({ other, there: totalCapacity(other.kinds, usable) }))
-        .filter(({ there }) => there.capacity > 0);
-      for (const group of pinned ? [idle] : idle.map((chunk) => [chunk])) {
+        .filter(({ part }) => mayRunIn(part))
+        .map((other) => ({ other, capacity: totalCapacity(other.kinds, isAllowedKind) }))
+        .filter(({ capacity }) => capacity.capacity > 0);
+      for (const group of singlePart ? [waitingChunks] : waitingChunks.map((chunk) => [chunk])) {
         const cpus = group.reduce((sum, chunk) => sum + chunk.pending * spec.cpus, 0);
         if (cpus === 0) continue;
         const pressure =
           here.capacity > 0 ? (waiting - here.free) / here.capacity : Number.POSITIVE_INFINITY;
-        // To a part that is full as well only when it is clearly less pressed, and not soon
-        // again: summaries are a little old, and chunks would travel to and fro.
-        const settled = group.every((chunk) => now - chunk.since > this.ctx.leaseMs / 2);
-        let least = settled ? Math.max(0, pressure - 0.25) : 0;
-        let best: Other | null = null;
-        for (const { other, there } of rooms) {
-          const after = (other.waiting - there.free + cpus) / there.capacity;
-          // Free CPUs on many machines are no room for a large task.
-          const fits = after <= 0 && there.most + EPSILON >= spec.cpus;
-          if (fits ? after <= least : settled && after > 0 && after < least) {
-            least = after;
+        // A part that is full as well must have a clearly lower load, and the chunk must not have moved
+        // recently: summaries are slightly stale, and chunks would be handed back and forth.
+        const mayGoToFullPart = group.every((chunk) => now - chunk.since > this.ctx.leaseMs / 2);
+        let lowestPressure = mayGoToFullPart ? Math.max(0, pressure - 0.25) : 0;
+        let best: OtherPart | null = null;
+        for (const { other, capacity } of candidates) {
+          const pressureAfter = (other.waiting - capacity.free + cpus) / capacity.capacity;
+          // Free CPUs that are spread over many machines do not fit a large task.
+          const fits = pressureAfter <= 0 && capacity.most + EPSILON >= spec.cpus;
+          if (
+            fits
+              ? pressureAfter <= lowestPressure
+              : mayGoToFullPart && pressureAfter > 0 && pressureAfter < lowestPressure
+          ) {
+            lowestPressure = pressureAfter;
             best = other;
           }
         }
         if (best === null) continue;
         for (const chunk of group) chunk.movingTo = best.part;
-        moves = true;
+        anyHandedOver = true;
         best.waiting += cpus;
         best.sent.cpus += cpus;
         waiting -= cpus;
         this.ctx.log.debug(
           { part: this.ctx.index, job: job.id, to: best.part, chunks: group.length },
-          "chunks handed on",
+          "chunks to be handed over to another part",
         );
       }
     }
-    return moves;
+    return anyHandedOver;
   }
 }
--- a/src/part/summary-publisher.ts
+++ b/src/part/summary-publisher.ts
@@ -3,24 +3,24 @@
 import { Rejected } from "../state/store.js";
 import { freeCapacityOf } from "./allowances.js";
 import type { PartContext } from "./context.js";
-import { progressOf } from "./job-holds.js";
+import { taskProgress } from "./job-holds.js";
 import type { Ledger } from "./ledger.js";
 import type { Quota } from "./quota.js";
-import { kindsOf } from "./rebalancing.js";
+import { capacityByKind } from "./rebalancing.js";
 import type { CapacityRequest, Summary } from "./summary.js";
 import { truncatedSummary } from "./summary-truncation.js";
 import { isUsable } from "./usable-machine.js";
 
-/** Tells the other controllers, the store and the leader how a part stands. */
+/** Publishes a part's summary to the other controllers and to the store, where the leader reads it. */
 export class SummaryPublisher {
-  /** CPUs that teams which yield would need for others to start. */
+  /** CPUs that preemptible teams would have to free so that waiting tasks of others start. */
   starved = 0;
-  #summaryAt = 0;
-  #sentAt = 0;
-  #lastState = "";
-  #summaries = 0;
-  /** The service's limits have fallen. */
-  #narrow = false;
+  #storedAt = 0;
+  #publishedAt = 0;
+  #lastPublishedState = "";
+  #lastSeq = 0;
+  /** A stored summary was rejected: the store's limits have been lowered. */
+  #valueLimitLowered = false;
 
   constructor(
     readonly ctx: PartContext,
@@ -28,72 +28,73 @@
     readonly quota: Quota,
   ) {}
 
-  /** Says what has changed since the last time, if it is time to. */
+  /** Publishes the summary if the interval for it has passed. */
   run(): void {
     const now = this.ctx.clock.now();
     const { index, claim, store, reportMs } = this.ctx;
-    // The other controllers hear of changes soon, if they can be reached.
-    const used = [...this.ledger.use.values()].reduce((sum, { cpus }) => sum + cpus, 0);
-    const state = `${this.ledger.waitingCpus}/${this.quota.short.size}/${used}`;
-    const changed = state !== this.#lastState;
-    if (now - this.#sentAt >= (changed ? reportMs / 4 : reportMs)) {
-      this.#sentAt = now;
-      this.#lastState = state;
+    // Changes are sent to the reachable controllers after a quarter of the report interval.
+    const usedCpus = [...this.ledger.use.values()].reduce((sum, { cpus }) => sum + cpus, 0);
+    const loadState = `${this.ledger.waitingCpus}/${this.quota.shortages.size}/${usedCpus}`;
+    const changed = loadState !== this.#lastPublishedState;
+    if (now - this.#publishedAt >= (changed ? reportMs / 4 : reportMs)) {
+      this.#publishedAt = now;
+      this.#lastPublishedState = loadState;
       this.ctx.publishSummary(this.summary(true));
     }
-    // The store gets one every 5 s (DESIGN): for whoever is cut off from us, and the next leader.
-    if (now - this.#summaryAt < 5000 || !store.writes.take(1, 2)) return;
-    this.#summaryAt = now;
-    // A program from before reads whole ones only.
+    // A summary is stored every 5 s (DESIGN), for controllers cut off from this one and the next leader.
+    if (now - this.#storedAt < 5000 || !store.writes.take(1, 2)) return;
+    this.#storedAt = now;
+    // An earlier build reads only summaries that are not truncated.
     const { valueBytes, wideBytes = valueBytes } = store.limits;
-    const most =
-      this.#narrow || this.ctx.allReadCurrentFormat()
+    const maxBytes =
+      this.#valueLimitLowered || this.ctx.allReadCurrentFormat()
         ? valueBytes
         : Math.max(valueBytes, wideBytes);
-    const value = truncatedSummary(this.summary(), most);
+    const value = truncatedSummary(this.summary(), maxBytes);
     store.transact([claim], [{ put: keys.summary(index), value }]).catch((error) => {
-      if (error instanceof Rejected) this.#narrow = true;
+      if (error instanceof Rejected) this.#valueLimitLowered = true;
     });
   }
 
-  /** `progress` is for those who are told at once: a record of the store has no room for it. */
+  /** With `progress` for summaries that are sent; it is too large for a stored record. */
   summary(progress = false): Summary {
     const now = this.ctx.clock.now();
-    const pairs = (map: ReadonlyMap<string, Amounts>): Record<string, [number, number]> =>
+    const toPairs = (map: ReadonlyMap<string, Amounts>): Record<string, [number, number]> =>
       Object.fromEntries([...map].map(([team, a]) => [team, [a.cpus, a.gpus]]));
-    const needs = new Map<string, CapacityRequest>();
+    const requests = new Map<string, CapacityRequest>();
     let workS = 0;
-    const { policy: rules, constraints: places } = this.ctx;
-    // What its team's limit does not let run has nothing dear rented for it: that would stand idle
-    // (inc-dbf5: 0.27 of the money was useful). What is cheap it may have: with less kept for the next
-    // job of another team, half of the work within guarantees began in 5 s where three quarters did.
-    const ahead = new Map<string, number>();
+    const { policy, constraints } = this.ctx;
+    // No expensive machine is rented for tasks beyond their team's limit: it would stand idle
+    // (inc-dbf5: only 0.27 of the money spent was useful). Cheap machines may be rented for them: when
+    // fewer were kept for the next job of another team, only half of the work within guarantees
+    // started within 5 s instead of three quarters.
+    const cpusLeftByTeam = new Map<string, number>();
     const jobs = [...this.ledger.jobs.values()].sort((a, b) => b.spec.rank - a.spec.rank);
     for (const job of jobs) {
-      // No machine is rented for those who yield.
-      if (!job.open || job.failures > 1 || rules?.preemptible(job.spec.team) === true) continue;
+      // No machine is rented for preemptible teams.
+      if (!job.open || job.failures > 1 || policy?.preemptible(job.spec.team) === true) continue;
       const { waiting } = job;
-      if (waiting === 0 || places.cannotStart(job.id, job.spec)) continue;
+      if (waiting === 0 || constraints.cannotStart(job.id, job.spec)) continue;
       const { team, cpus, gpus, memGb, spot, types, zone, estimateS } = job.spec;
-      const left = Math.max(0, ahead.get(team) ?? this.quota.ahead(team));
-      const within = Math.min(waiting, Math.ceil(left / Math.max(cpus, EPSILON)));
-      ahead.set(team, left - within * cpus);
-      // How long the work of borrowers lasts is no reason to rent anything dear.
-      const lends = this.ctx.isBorrower(team);
-      if (!lends) workS += within * cpus * estimateS;
+      const cpusLeft = Math.max(0, cpusLeftByTeam.get(team) ?? this.quota.attainableCpus(team));
+      const withinLimit = Math.min(waiting, Math.ceil(cpusLeft / Math.max(cpus, EPSILON)));
+      cpusLeftByTeam.set(team, cpusLeft - withinLimit * cpus);
+      // Work of borrowers does not count: it does not justify renting expensive machines.
+      const borrower = this.ctx.isBorrower(team);
+      if (!borrower) workS += withinLimit * cpus * estimateS;
       for (const [count, lent] of [
-        [within, lends],
-        [waiting - within, true],
+        [withinLimit, borrower],
+        [waiting - withinLimit, true],
       ] as const) {
         if (count === 0) continue;
-        const need: CapacityRequest = { cpus, gpus, memGb, spot, types, zone, count };
-        if (lent) need.lent = true;
-        const like = places.equivalenceKey(job.spec) ?? job.id;
-        const key = JSON.stringify({ ...need, count: 0, like });
-        // The leader finds the expressions in that job's header.
-        if (job.spec.match !== undefined) need.job = job.id;
-        const known = needs.get(key);
-        if (known === undefined) needs.set(key, need);
+        const request: CapacityRequest = { cpus, gpus, memGb, spot, types, zone, count };
+        if (lent) request.lent = true;
+        const equivalenceKey = constraints.equivalenceKey(job.spec) ?? job.id;
+        const key = JSON.stringify({ ...request, count: 0, like: equivalenceKey });
+        // The leader reads the expressions from that job's header.
+        if (job.spec.match !== undefined) request.job = job.id;
+        const known = requests.get(key);
+        if (known === undefined) requests.set(key, request);
         else known.count += count;
       }
     }
@@ -108,7 +109,7 @@
     const retired: string[] = [];
     const machines = [...this.ledger.machines.values()];
     for (const machine of machines) {
-      // Its reports may come while nothing reaches it: by now its lease has ended all the same.
+      // A machine may report while no answer reaches it; its lease expires in that case as well.
       const since = Math.min(machine.lastSeen, machine.unreachableSince ?? now);
       const silent = now - since > this.ctx.leaseMs * 1.1;
       if (silent || (machine.retired !== null && machine.allocations.size === 0))
@@ -116,17 +117,18 @@
       else if (machine.allocations.size === 0)
         idle[machine.id] = Math.round((now - machine.idleSince) / 1000);
     }
-    const picky = progress && places.matcher !== null ? progressOf(this.ledger.jobs.values()) : [];
+    const jobProgress =
+      progress && constraints.matcher !== null ? taskProgress(this.ledger.jobs.values()) : [];
     return {
-      ...(picky.length === 0 ? {} : { progress: picky }),
-      ...(rules === null
+      ...(jobProgress.length === 0 ? {} : { progress: jobProgress }),
+      ...(policy === null
         ? {}
         : { rooms: freeCapacityOf(machines, this.ctx), starved: Math.round(this.starved) }),
-      use: pairs(this.ledger.use),
+      use: toPairs(this.ledger.use),
       demand,
-      need: [...needs.values()].slice(0, 40),
-      short: pairs(this.quota.short),
-      kinds: kindsOf(
+      need: [...requests.values()].slice(0, 40),
+      short: toPairs(this.quota.shortages),
+      kinds: capacityByKind(
         machines.filter((machine) => isUsable(machine, this.ctx)),
         this.ctx.types(),
       ),
@@ -136,7 +138,7 @@
       retired,
       idle,
       token: this.ctx.token,
-      seq: ++this.#summaries,
+      seq: ++this.#lastSeq,
     };
   }
 }
--- a/src/part/summary.ts
+++ b/src/part/summary.ts
@@ -1,39 +1,39 @@
 import { isMap } from "../wire/cbor.js";
-import { fullSummary } from "./summary-truncation.js";
+import { expandSummary } from "./summary-truncation.js";
 
-/** What a part's owner tells the others: written to the store, and sent when it is urgent. */
+/** State of a part that its owner publishes: stored, and sent to the other controllers sooner. */
 export interface Summary {
   /** Use by team: CPUs and GPUs of tasks placed and not proved gone. */
   use: Record<string, [number, number]>;
-  /** What the tasks of a team at one priority use and wait for. */
+  /** Resources that a team's tasks of one priority use and wait for. */
   demand: { team: string; rank: number; cpus: number; gpus: number }[];
-  /** Waiting tasks by shape, those that their team's limit allows. */
+  /** Waiting tasks by shape, as machines to rent; those beyond their team's limit are marked `lent`. */
   need: CapacityRequest[];
-  /** Teams whose slice is too small here, with what is missing. */
+  /** Teams whose quota slice is too small here, with what they lack. */
   short: Record<string, [number, number]>;
-  /** The machines that take tasks, by kind. */
+  /** Machines that may be given tasks, by kind. */
   kinds: KindCapacity[];
-  /** CPUs of tasks that wait, over all teams. */
+  /** CPUs of waiting tasks, over all teams. */
   waiting: number;
-  /** How long one CPU would work on them, by the estimates of their owners, in seconds. */
+  /** CPU seconds of their work, by the estimates of their owners. */
   workS: number;
   machines: string[];
-  /** Machines no longer used here, and silent ones: to be returned. */
+  /** Retired machines without tasks, and silent ones: to be returned to the cloud. */
   retired: string[];
-  /** Machines without tasks, with seconds idle. */
+  /** Machines without tasks, and for how long they have been idle, seconds. */
   idle: Record<string, number>;
-  /** Free room machine by machine, alike ones together; only with a package that asks for it. */
+  /** Free resources by machine, equal ones counted together; only with a package that needs them. */
   rooms?: FreeCapacity[];
-  /** CPUs of waiting tasks that only lack room: within their team's slice, and not yielding. */
+  /** CPUs of waiting tasks that lack only free resources: within their slice, not preemptible. */
   starved?: number;
   token: number;
-  /** Counts the summaries of one owner. */
+  /** Number of this summary, counted by its owner. */
   seq: number;
-  /** Jobs with expressions, with tasks placed and done here; told to the others, not stored. */
+  /** Jobs with expressions, with tasks placed and done here; sent to the others, not stored. */
   progress?: [job: string, placed: number, done: number][];
 }
 
-/** Machines of one zone with the same free room, and how many there are. */
+/** Machines of one zone with equal free resources, and how many there are. */
 export interface FreeCapacity {
   zone: string;
   cpus: number;
@@ -46,7 +46,7 @@
   type: string;
   zone: string;
   spot: boolean;
-  /** All CPUs, those that are free, and the most that are free on one machine. */
+  /** All CPUs, free CPUs, and the most that are free on one machine. */
   capacity: number;
   free: number;
   most: number;
@@ -60,11 +60,11 @@
   types: string[] | null;
   zone: string | null;
   count: number;
-  /** Only machines whose cores cost at most this an hour are worth renting for it. */
+  /** Highest price of a core per hour at which machines are rented for it. */
   most?: number;
-  /** A job whose expressions say which machines will do. */
+  /** A job whose expressions decide which machines are suitable. */
   job?: string;
-  /** Of a team without a guarantee: it borrows what is there, and has nothing dear rented for it. */
+  /** Runs on lent resources, or is beyond its team's limit: no expensive machine is rented for it. */
   lent?: boolean;
 }
 
@@ -72,8 +72,8 @@
   Array.isArray(value) && value.length === 2 && value.every(Number.isFinite);
 
 /**
- * Numbers that others add up have to be some: one that was not made every sum that it went into
- * none either, and with them the slices that were written by it.
+ * Checks the members that other parts compute with. They must be finite numbers: one that was not
+ * made every sum that included it NaN, and so the quota slices that were written from these sums.
  */
 export function isSummary(value: unknown): value is Summary {
   if (!isMap(value) || !isMap(value.use) || !isMap(value.short)) return false;
@@ -95,7 +95,7 @@
   );
 }
 
-/** The newest summary of every part, from the store or from its owner directly. */
+/** Keeps the newest summary of every part, from the store or directly from its owner. */
 export class Summaries {
   readonly #newest = new Map<number, Summary>();
 
@@ -107,7 +107,7 @@
     ) {
       return;
     }
-    this.#newest.set(part, fullSummary(summary, known));
+    this.#newest.set(part, expandSummary(summary, known));
   }
 
   of(part: number): Summary | undefined {
@@ -119,7 +119,7 @@
   }
 }
 
-/** What machines of the kinds that pass `usable` have, together. */
+/** Sums up the capacity of all kinds of machines that pass `usable`. */
 export function totalCapacity(
   kinds: readonly KindCapacity[],
   usable: (kind: KindCapacity) => boolean,
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -56,23 +56,28 @@
  * Controllers that write records as large as they may, restarted one by one with the limits to come;
  * then these hold, and whatever was written before is still there.
  */
-async function fallingDay(seed: number, troubled: boolean, ghost = false): Promise<World> {
+async function runWithLoweredLimits(
+  seed: number,
+  withFaults: boolean,
+  withOlderPresence = false,
+): Promise<World> {
   const world = new World(seed, 3, TEAMS, 12, {}, ["a"], undefined, 60);
-  const dice = new Random(seed + 90);
+  const random = new Random(seed + 90);
   await world.clock.run(20_000);
   let jobs = 0;
   const submit = (tasks: number, runMs: number): void => {
     const id = `wk-${800_000 + jobs++}`;
     const body = { memGb: 0.1 };
-    world.submit(id, { team: dice.pick(TEAMS).name, tasks, cpus: 0.125, runMs, body });
+    world.submit(id, { team: random.pick(TEAMS).name, tasks, cpus: 0.125, runMs, body });
   };
-  for (let n = 0; n < 6; n++) submit(dice.int(80, 140), dice.int(60_000, 80_000));
-  for (let n = 0; n < 20; n++) submit(dice.int(1, 5), dice.int(60_000, 80_000));
+  for (let n = 0; n < 6; n++) submit(random.int(80, 140), random.int(60_000, 80_000));
+  for (let n = 0; n < 20; n++) submit(random.int(1, 5), random.int(60_000, 80_000));
   await world.clock.run(45_000);
   const sizes = [...world.state.rows].map(([, { value }]) => JSON.stringify(value).length);
   assert.ok(Math.max(...sizes) > AFTER.valueBytes, `${Math.max(...sizes)}`);
   // Somebody from before seems to be there still.
-  if (ghost) world.state.transact([], [{ put: "w/n/ghost", value: { run: "r", shy: true } }]);
+  if (withOlderPresence)
+    world.state.transact([], [{ put: "w/n/ghost", value: { run: "r", shy: true } }]);
   for (let n = 0; n < 3; n++) {
     world.crash(n, 1500);
     world.stores[n]!.limits = AFTER;
@@ -80,8 +85,8 @@
   }
   world.state.limits = AFTER;
   for (let step = 0; step < 30; step++) {
-    if (dice.chance(0.4)) submit(dice.int(1, 60), dice.int(2000, 20_000));
-    if (troubled && dice.chance(0.2)) fault(world, dice);
+    if (random.chance(0.4)) submit(random.int(1, 60), random.int(2000, 20_000));
+    if (withFaults && random.chance(0.2)) fault(world, random);
     await world.clock.run(3000);
   }
   await world.clock.run(330_000);
@@ -91,7 +96,7 @@
 
 for (const seed of [1, 2, 3]) {
   test(`limits: they fall after an upgrade, and no job stands still, seed ${seed}`, async () => {
-    const world = await fallingDay(seed, seed > 1);
+    const world = await runWithLoweredLimits(seed, seed > 1);
     assert.deepEqual(wrongs(world), []);
     assert.deepEqual(
       world.stores.flatMap(({ rejected }) => rejected),
@@ -101,7 +106,7 @@
 }
 
 test("limits: they fall while large records are still written: divided after the first refusal", async () => {
-  const world = await fallingDay(4, false, true);
+  const world = await runWithLoweredLimits(4, false, true);
   assert.ok(world.stores.some(({ rejected }) => rejected.length > 0));
   assert.deepEqual(wrongs(world), []);
 });
--- a/test/support/placing.ts
+++ b/test/support/placing.ts
@@ -42,13 +42,13 @@
   readonly clock = new FakeClock();
   readonly mirror: Mirror;
   readonly ledger: Ledger;
-  readonly placing: Placement;
+  readonly placement: Placement;
   readonly ctx: PartContext;
   #jobs = 0;
 
   constructor(
     readonly types: ReadonlyMap<string, MachineType>,
-    matching: JobMatcher | null,
+    matcher: JobMatcher | null,
     teams: readonly string[] = ["red"],
   ) {
     const state = new FakeState(this.clock, LIMITS);
@@ -64,7 +64,7 @@
       log: quiet,
       policy: null,
       configuration: NEVER_REVISED,
-      constraints: new PlacementConstraints(matching),
+      constraints: new PlacementConstraints(matcher),
       isBorrower: () => false,
       types: () => types,
       newShareTree: () => new ShareTree(groups),
@@ -76,10 +76,10 @@
       leaseMs: 12_000,
     } as unknown as PartContext;
     this.ledger = new Ledger(this.ctx);
-    this.placing = new Placement(this.ctx, this.ledger, {
+    this.placement = new Placement(this.ctx, this.ledger, {
       fits: () => true,
-      excess: () => 0,
-      short: new Map(),
+      excessCpus: () => 0,
+      shortages: new Map(),
     } as unknown as Quota);
   }
 
@@ -89,16 +89,16 @@
   }
 
   job(spec: Partial<JobSpec>, id = `wk-${++this.#jobs}`): string {
-    const whole = { ...plainSpec, ...spec };
+    const fullSpec = { ...plainSpec, ...spec };
     const header: JobHeader = {
       status: "open",
-      spec: whole,
+      spec: fullSpec,
       owners: "0",
-      chunkSize: whole.tasks,
+      chunkSize: fullSpec.tasks,
       at: this.#jobs,
       started: false,
       moves: 0,
-      tasks: whole.tasks,
+      tasks: fullSpec.tasks,
     };
     this.mirror.apply({ key: `w/j/${id}`, value: header, version: ++this.#jobs, deleted: false });
     const { job, chunks } = this.ledger.missing(id, header)!;
@@ -110,7 +110,7 @@
     const pass = beginPass(this.ctx, this.ledger);
     // All of them have just reported.
     for (const machine of this.ledger.machines.values()) machine.lastSeen = this.clock.now();
-    this.placing.run(pass);
+    this.placement.run(pass);
   }
 
   /** Where a job's tasks are, in order. */
@@ -126,7 +126,8 @@
   /** Takes a job's tasks off their machines. */
   clear(id: string): void {
     for (const chunk of this.ledger.jobs.get(id)?.chunks.values() ?? []) {
-      for (const live of [...chunk.allocations.values()]) this.ledger.release(live, false);
+      for (const allocation of [...chunk.allocations.values()])
+        this.ledger.release(allocation, false);
     }
   }
 }
