--- a/src/part/preemption.ts
+++ b/src/part/preemption.ts
@@ -94,8 +94,8 @@
       if (!this.quota.fits(spec, taskCount)) continue;
       const withinGuarantee = guaranteed.has(job.id);
       const rank = withinGuarantee ? spec.rank : rankOf(job, onTime);
-      // Before the lease has passed, a job is here only because preemptible tasks run: no others may
-      // be stopped for it yet.
+      // Unless within a guarantee, a job that has waited for less than a report interval is here only
+      // because preemptible tasks run: no other tasks may be stopped for it yet.
       const waitedBeyondLeaseMs = now - job.waitingSince - this.ctx.leaseMs;
       const early = waitedBeyondLeaseMs < 0 && now - job.waitingSince < this.ctx.reportMs;
       const lossLimitMs = early && preemptibleRunning ? -1 : Math.max(0, waitedBeyondLeaseMs);
@@ -234,9 +234,9 @@
 
   /**
    * For one task: finds the machine on which the cheapest set of victims frees enough for it.
-   * Candidates are ranked as in KEP-1714, but only among those of one machine: the first ones of the
-   * whole part are spread over as many machines, and stopping them would free enough for a large task
-   * on none.
+   * Candidates are ranked as in KEP-1714, but only among those of one machine: the highest-ranked ones
+   * of the whole part are spread over as many machines, and stopping them would not free enough for a
+   * large task on any of them.
    */
   #planOnOneMachine(
     job: Job,
@@ -309,7 +309,7 @@
   /** Cost of victims that must be stopped together, in the order of KEP-1714; lower is better. */
   #cost(victims: readonly SelectedVictim[], tree: Pass["tree"]): number[] {
     const greedy = victims.some(({ reason }) => reason === "greedy") ? 1 : 0;
-    const notYielding = victims.some(({ reason }) => reason !== "yield") ? 1 : 0;
+    const notPreemptible = victims.some(({ reason }) => reason !== "yield") ? 1 : 0;
     const notLent = victims.some(({ victim }) => victim.lent !== true) ? 1 : 0;
     const preemptionValue = victims.reduce(
       (sum, { victim }) => sum + (victim.preemptionValue ?? 0),
@@ -319,7 +319,7 @@
     const rank = Math.max(...victims.map(({ victim }) => victim.rank));
     const cpus = victims.reduce((sum, { victim }) => sum + victim.size.cpus, 0);
     const loss = victims.reduce((sum, { victim }) => sum + victim.loss, 0);
-    return [greedy, notYielding, preemptionValue, notLent, -share, rank, cpus, loss];
+    return [greedy, notPreemptible, preemptionValue, notLent, -share, rank, cpus, loss];
   }
 
   /** For a gang: finds victims on any machines so that all its waiting tasks fit. */
@@ -380,7 +380,7 @@
   ): void {
     const { id, spec, team, size, tasks } = candidate;
     this.#candidates.delete(id);
-    // A preemptible task gets no time to save: nothing waits for that.
+    // Preemptible tasks get no time to save: no other team's task is to wait for that.
     const saves = spec.checkpointS > 0 && reason !== "yield";
     const graceS = saves ? spec.saveS + this.ctx.reportMs / 1000 : 0;
     for (const { allocation, machine } of tasks) {
--- a/src/part/quota.ts
+++ b/src/part/quota.ts
@@ -249,7 +249,7 @@
    * until it is known which one is stored. A slice is lowered only when another part lacks quota.
    */
   changes(): SliceChange[] {
-    const changes: SliceChange[] = [];
+    const changed: SliceChange[] = [];
     for (const [team, limit] of this.ctx.limits) {
       if (!isLimited(limit.cpus) && !isLimited(limit.gpus)) continue;
       const { key, version, record, own } = this.#read(team);
@@ -290,9 +290,9 @@
         own !== null &&
         Math.abs(after.cpus - own.cpus) < EPSILON &&
         Math.abs(after.gpus - own.gpus) < EPSILON;
-      if (!unchanged) changes.push({ team, key, version, record: next });
+      if (!unchanged) changed.push({ team, key, version, record: next });
     }
-    return changes;
+    return changed;
   }
 
   /**
--- a/src/part/rebalancing.ts
+++ b/src/part/rebalancing.ts
@@ -96,7 +96,7 @@
         this.ctx.constraints.allows(spec, kind);
       const mayRunIn = this.#allowanceFilter(job);
       const here = mayRunIn(this.ctx.index) ? totalCapacity(ownKinds, isAllowedKind) : NO_CAPACITY;
-      // A job that fails repeatedly has failed on all machines here and would fail elsewhere as well:
+      // A failing job has failed on all machines here that it may use, and would fail elsewhere as well:
       // one was handed back and forth 146 times, and its failures were counted from zero each time.
       if (job.failures > 0 && here.capacity > 0) continue;
       const candidates = others
--- a/src/part/summary-publisher.ts
+++ b/src/part/summary-publisher.ts
@@ -41,7 +41,7 @@
       this.#lastPublishedState = loadState;
       this.ctx.publishSummary(this.summary(true));
     }
-    // A summary is stored every 5 s (DESIGN), for controllers cut off from this one and the next leader.
+    // One is stored every 5 s (DESIGN), for controllers cut off from this one and for the next leader.
     if (now - this.#storedAt < 5000 || !store.writes.take(1, 2)) return;
     this.#storedAt = now;
     // An earlier build reads only summaries that are not truncated.
--- a/src/part/usable-machine.ts
+++ b/src/part/usable-machine.ts
@@ -2,7 +2,7 @@
 import type { Machine } from "../workers/machine.js";
 import type { PartContext } from "./context.js";
 
-/** Whether a machine reports to this owner, receives its answers and is not about to leave. */
+/** Whether a machine reports to this owner, receives its answers, and is not retired or leaving. */
 export function isUsable(machine: Machine, ctx: PartContext): boolean {
   return (
     machine.hasOurToken &&
--- a/test/archive-model.test.ts
+++ b/test/archive-model.test.ts
@@ -29,7 +29,7 @@
 import { FakeClock } from "./support/clock.js";
 import { ALONE, bodyOf, LIMITS, quiet } from "./support/common.js";
 import { type Choices, ChosenStore, explore, type Scene, Wire } from "./support/explore.js";
-import { plainSpec } from "./support/placing.js";
+import { plainSpec } from "./support/placement-bench.js";
 import { settingsFor } from "./support/platform-settings.js";
 
 const TEAMS = [{ name: "red", cpus: 8, max: 8 }];
--- a/test/guests.test.ts
+++ b/test/guests.test.ts
@@ -14,7 +14,7 @@
 import { decodeFrame, encodeFrame } from "../src/peer/frames.js";
 import { FakeClock } from "./support/clock.js";
 import { quiet } from "./support/common.js";
-import { PlacingBench } from "./support/placing.js";
+import { PlacingBench } from "./support/placement-bench.js";
 import { World } from "./support/world.js";
 
 const cpus = (n: number) => ({ cpus: n, gpus: 0 });
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -18,7 +18,7 @@
   { next: { value_kb: 64, txn_ops: 4, write_rps: 21 }, writeRps: 21, valueBytes: 32768, ops: 4 },
 ];
 for (const { next, ...expected } of cases) {
-  test(`limits: now and next ${JSON.stringify(next)}: the smaller of both`, () => {
+  test(`limits: with next ${JSON.stringify(next)}, the smaller of both values applies`, () => {
     const { writeRps, valueBytes, ops, conditions } = storeLimits({
       ...NOW,
       ...(next && { next }),
@@ -28,7 +28,7 @@
   });
 }
 
-test("limits: what is wrong with those to come is said with its place", () => {
+test("limits: an error in the future limits names its setting", () => {
   const text = (next: string): string => `node_name = "a"
 site = "s"
 listen = "1.1.1.1:1"
@@ -53,8 +53,8 @@
 });
 
 /**
- * Controllers that write records as large as they may, restarted one by one with the limits to come;
- * then these hold, and whatever was written before is still there.
+ * Controllers write records of the largest size allowed and are restarted one by one with the future
+ * limits. Then these limits take effect, while larger records are still stored.
  */
 async function runWithLoweredLimits(
   seed: number,
@@ -75,7 +75,7 @@
   await world.clock.run(45_000);
   const sizes = [...world.state.rows].map(([, { value }]) => JSON.stringify(value).length);
   assert.ok(Math.max(...sizes) > AFTER.valueBytes, `${Math.max(...sizes)}`);
-  // Somebody from before seems to be there still.
+  // A presence record of an earlier build makes it seem that one is still running.
   if (withOlderPresence)
     world.state.transact([], [{ put: "w/n/ghost", value: { run: "r", shy: true } }]);
   for (let n = 0; n < 3; n++) {
@@ -95,7 +95,7 @@
 }
 
 for (const seed of [1, 2, 3]) {
-  test(`limits: they fall after an upgrade, and no job stands still, seed ${seed}`, async () => {
+  test(`limits: lowered after an upgrade, no job stalls, seed ${seed}`, async () => {
     const world = await runWithLoweredLimits(seed, seed > 1);
     assert.deepEqual(wrongs(world), []);
     assert.deepEqual(
@@ -105,24 +105,24 @@
   });
 }
 
-test("limits: they fall while large records are still written: divided after the first refusal", async () => {
+test("limits: lowered while large records are still written, these are split after the first refusal", async () => {
   const world = await runWithLoweredLimits(4, false, true);
   assert.ok(world.stores.some(({ rejected }) => rejected.length > 0));
   assert.deepEqual(wrongs(world), []);
 });
 
 for (const times of [1, 2]) {
-  test(`limits: a submission over the rate, refused ${times} times`, async () => {
+  test(`limits: a submission over the rate limit, refused ${times} times`, async () => {
     const world = new World(8, 3, TEAMS, 4);
     await world.clock.run(20_000);
     const { body } = world.submit("wk-1", { team: "red", tasks: 1 });
     await world.clock.run(5000);
     const [store] = world.stores;
     const transact = store!.transact.bind(store);
-    let left = times;
+    let refusalsLeft = times;
     store!.transact = (when, then) => {
       const submits = then.some((change) => "put" in change && change.put === "w/j/wk-2");
-      if (submits && left-- > 0) return Promise.reject(new Busy("429"));
+      if (submits && refusalsLeft-- > 0) return Promise.reject(new Busy("429"));
       return transact(when, then);
     };
     const asked = world.ask(0, "POST", "/api/jobs", { ...body, uid: "wk-2" });
@@ -132,12 +132,12 @@
   });
 }
 
-test("limits: a platform's settings without any to come are what they were", () => {
+test("limits: settings without future limits use the present ones", () => {
   const { params } = settingsFor(0, 3, TEAMS);
   assert.equal(storeLimits(params.state).valueBytes, params.state.value_kb * 1024);
 });
 
-test("limits: an image has one record of each chunk, the newest, whole", () => {
+test("limits: an image has one record of each chunk, the newest one, complete", () => {
   const page = (version: number, c: object) => ({ value: { m: ["a", "b"], c }, version });
   const rows = newestOnly(
     new Map<string, { value: unknown; version: number }>([
--- a/test/measure/classad.ts
+++ b/test/measure/classad.ts
@@ -50,7 +50,7 @@
 );
 
 const { Matcher } = await import("../../src/submit/index.js");
-const { plainSpec } = await import("../support/placing.js");
+const { plainSpec } = await import("../support/placement-bench.js");
 const types = new Map(
   Array.from({ length: 6 }, (_, i) => {
     const name = `t${i}`;
--- a/test/measure/pass.ts
+++ b/test/measure/pass.ts
@@ -5,7 +5,7 @@
 import { parseOperators } from "../../src/settings/operators.js";
 import { RecordValidator } from "../../src/state/record-validator.js";
 import { BY_REQUIREMENTS, type JobSpec } from "../../src/wire/jobs.js";
-import { PlacingBench } from "../support/placing.js";
+import { PlacingBench } from "../support/placement-bench.js";
 import { settingsFor } from "../support/platform-settings.js";
 import { Random } from "../support/random.js";
 
--- a/test/part-configuration.test.ts
+++ b/test/part-configuration.test.ts
@@ -4,7 +4,7 @@
 import { keys } from "../src/state/keys.js";
 import { Bench, header, running, spec } from "./support/part-bench.js";
 
-/** A configuration whose limit is the bench's, and that has been revised. */
+/** A revised configuration with the bench's limits. */
 const revised = (bench: Bench, current = true): DecidingBy => ({
   limits: bench.limits,
   revised: true,
@@ -19,7 +19,7 @@
 const page = { m: ["old"], c: { "wk-000001/0": [1, "", "0.1.0,1.1.0"] } };
 const job = header({ spec: { ...spec, tasks: 8 }, tasks: 8, chunkSize: 8 });
 
-/** Two of eight tasks run here; slices are 4 here and `other` elsewhere. */
+/** Starts with two of eight tasks running here; the slices are 4 here and `other` in part 1. */
 async function started(bench: Bench, other: number): Promise<void> {
   bench.put(
     { put: "c/0/p/0", value: page },
@@ -32,7 +32,7 @@
 const slices = (bench: Bench): Record<string, number[]> =>
   bench.state.rows.get("w/q/red")?.value as Record<string, number[]>;
 
-test("configuration: under a lowered limit unused slices go, nothing starts, and no attempt is used up", async () => {
+test("configuration: under a lowered limit unused quota is given up, and nothing starts or uses an attempt", async () => {
   const bench = new Bench();
   bench.configuration = revised(bench);
   bench.limits.set("red", { cpus: 5, gpus: 0 });
@@ -46,20 +46,20 @@
   for (let seq = 1; seq < 10; seq++) await report(seq);
   assert.deepEqual(slices(bench), { 0: [2, 0], 1: [4, 0] });
   assert.deepEqual(starts, []);
-  // Nobody has anything stopped for what cannot be.
+  // No shortage is published, so no part stops tasks for quota that does not exist.
   assert.deepEqual(
     bench.announced.map(({ short }) => short).filter(({ red }) => red),
     [],
   );
-  // The other part gives up what it has beyond its share, and this one goes on.
+  // The other part gives up quota beyond its share, and this one starts tasks again.
   bench.put({ put: "w/q/red", value: { ...slices(bench), 1: [1, 0] } });
   for (let seq = 10; seq < 20; seq++) await report(seq);
   assert.deepEqual(slices(bench), { 0: [4, 0], 1: [1, 0] });
-  // One attempt was used before, and each start takes the next.
+  // Attempt 1 was used before; each start takes the next one.
   assert.deepEqual([...new Set(starts)], [2, 3]);
 });
 
-test("configuration: while a revision cannot be used here, slices do not grow", async () => {
+test("configuration: while the newest revision is not in force here, slices do not grow", async () => {
   for (const current of [true, false]) {
     const bench = new Bench();
     bench.configuration = revised(bench, current);
@@ -78,15 +78,15 @@
   }
 });
 
-test("configuration: a revision that a refused commit shows counts only once the watch tells of it", async () => {
+test("configuration: a revision noticed by a refused commit takes effect only after the watch reports it", async () => {
   const bench = new Bench();
   bench.configuration = revised(bench);
   await started(bench, 0);
-  // The watch is late: only reads and transactions come through.
-  let late = true;
+  // The watch is delayed; only reads and transactions get through.
+  let watchDelayed = true;
   const watch = bench.store.watch.bind(bench.store);
   bench.store.watch = async (...asked) => {
-    while (late) await new Promise<void>((go) => bench.clock.after(100, go));
+    while (watchDelayed) await new Promise<void>((resolve) => bench.clock.after(100, resolve));
     return watch(...asked);
   };
   await bench.clock.run(2500);
@@ -98,7 +98,7 @@
     await bench.clock.run(500);
     assert.equal(bench.mirror.rows.has(keys.configurationHead), false);
   }
-  late = false;
+  watchDelayed = false;
   let starts = 0;
   for (let seq = 8; seq < 20; seq++) {
     const orders = await bench.report("old", { seq, tasks });
--- a/test/part-quota.test.ts
+++ b/test/part-quota.test.ts
@@ -4,7 +4,7 @@
 import type { Report } from "../src/wire/workers.js";
 import { Bench, header, running, spec } from "./support/part-bench.js";
 
-test("a slice of another part that is not known: nothing is taken meanwhile", async () => {
+test("quota: while another part's slice is unreadable, this part's slice does not grow", async () => {
   const bench = new Bench();
   bench.put({ put: "w/q/red", value: { 0: [1, 0], 1: [null, null] } });
   bench.put({ put: "w/j/wk-000001", value: header({ tasks: 3, chunkSize: 3 }) });
@@ -17,18 +17,18 @@
     }
     await bench.clock.run(500);
   }
-  assert.equal(started.size, 1, "what it holds may be used, and no more");
+  assert.equal(started.size, 1, "the present slice may be used, and no more");
 });
 
-// Part 1 has much work of a higher priority, part 2 waits for quota like this one.
+// Part 1 has much work of a higher priority; part 2 lacks quota, as this part does.
 for (const short of [true, false]) {
   const why = short ? "waits for quota" : "waits for machines";
-  test(`quota: higher work elsewhere ${why}: ours ${short ? "leaves it to it" : "starts"}`, async () => {
+  test(`quota: higher-priority work elsewhere ${why}: a task here ${short ? "does not start" : "starts"}`, async () => {
     const bench = new Bench();
     bench.put({ put: "w/j/wk-000001", value: header() }, { put: "w/q/red", value: { 1: [4, 0] } });
     await bench.takeOver();
     const rest = { kinds: [], waiting: 0, workS: 0, need: [], machines: [], retired: [], idle: {} };
-    const of = (rank: number, cpus: number, missing: boolean, used: number): Summary => ({
+    const summaryOf = (rank: number, cpus: number, missing: boolean, used: number): Summary => ({
       ...rest,
       token: 1,
       seq: 1,
@@ -36,8 +36,8 @@
       demand: [{ team: "red", rank, cpus, gpus: 0 }],
       short: missing ? { red: [1, 0] } : {},
     });
-    bench.part.ctx.summaries.offer(1, of(3, 40, short, 4));
-    bench.part.ctx.summaries.offer(2, of(0, 5, true, 0));
+    bench.part.ctx.summaries.offer(1, summaryOf(3, 40, short, 4));
+    bench.part.ctx.summaries.offer(2, summaryOf(0, 5, true, 0));
     await bench.report("new", { token: 1 });
     let started = false;
     for (let seq = 2; seq < 12; seq++) {
@@ -49,7 +49,7 @@
   });
 }
 
-test("quota: what a part does not use of its slice goes to one that is short", async () => {
+test("quota: the unused rest of a slice goes to a part that lacks quota", async () => {
   const bench = new Bench();
   const value = { m: ["old"], c: { "wk-000001/0": [1, "", "0.1.0,1.1.0,2.1.0,3.1.0"] } };
   const job = header({ spec: { ...spec, tasks: 4 }, tasks: 4, chunkSize: 4 });
@@ -77,17 +77,17 @@
     if (slice()?.[0] !== 4) givenAfterMs = seq * 2000;
   }
   assert.deepEqual(slice(), [4, 0]);
-  // What is not needed goes within half a lease, and stays away.
+  // Unused quota is given up within half a lease and is not taken back.
   assert.ok(givenAfterMs <= bench.part.ctx.leaseMs / 2, `${givenAfterMs}`);
 });
 
-// This part holds all of the limit, and its waiting tasks find no machine; the other waits for quota.
-const lent = [
-  { name: "is given to one that is short", short: true, slice: [4, 0] },
-  { name: "stays while nobody is short", short: false, slice: [8, 0] },
+// This part holds the whole limit and its waiting tasks find no machine; the other part may lack quota.
+const idleQuotaCases = [
+  { name: "is given to a part that lacks some", short: true, slice: [4, 0] },
+  { name: "is kept while no part lacks any", short: false, slice: [8, 0] },
 ];
-for (const { name, short, slice } of lent) {
-  test(`quota: what waits for machines here ${name}`, async () => {
+for (const { name, short, slice } of idleQuotaCases) {
+  test(`quota: unused quota of tasks that wait for machines ${name}`, async () => {
     const bench = new Bench();
     const value = { m: ["old"], c: { "wk-000001/0": [1, "", "0.1.0,1.1.0,2.1.0,3.1.0"] } };
     const job = header({ spec: { ...spec, tasks: 12 }, tasks: 12, chunkSize: 12 });
@@ -118,22 +118,28 @@
   });
 }
 
-// The team may use 8 CPUs, and they are used. There is a machine to spare: room is not the matter.
+// The team may use 8 CPUs and uses all of them. One machine is free, so only quota is lacking.
 const limitCases = [
   {
-    name: "a job of higher priority that may be in time",
+    name: "for a job of higher priority that can meet its due time",
     rank: 1,
-    timely: true,
+    onTime: true,
     cpus: 1,
     stops: 2,
   },
-  { name: "not for one that is too late already", rank: 1, timely: false, cpus: 1, stops: 0 },
-  { name: "not for one of the same priority", rank: 0, timely: true, cpus: 1, stops: 0 },
-  // Inc-6827: what was free of the limit meanwhile, less than one of its tasks, went to the others again.
-  { name: "and start nothing until it has its room", rank: 1, timely: true, cpus: 3, stops: 6 },
+  { name: "not for one that cannot meet its due time", rank: 1, onTime: false, cpus: 1, stops: 0 },
+  { name: "not for one of the same priority", rank: 0, onTime: true, cpus: 1, stops: 0 },
+  // Inc-6827: quota freed so far, less than a task of this job needs, was used by the stopped job again.
+  {
+    name: "and do not start again until it has its quota",
+    rank: 1,
+    onTime: true,
+    cpus: 3,
+    stops: 6,
+  },
 ];
-for (const { name, rank, timely, cpus, stops } of limitCases) {
-  test(`limit: tasks that save make room in their own team: ${name}`, async () => {
+for (const { name, rank, onTime, cpus, stops } of limitCases) {
+  test(`limit: checkpointing tasks are stopped to free quota in their own team: ${name}`, async () => {
     const bench = new Bench();
     await bench.takeOver();
     const low = { ...spec, rank: 0, tasks: 8, checkpointS: 20, saveS: 3 };
@@ -141,22 +147,22 @@
     bench.put({ put: "w/j/wk-000001", value });
     const lists = new Map<string, Report["tasks"]>();
     const stopped = new Map<string, number>();
-    const ends = new Map<string, number>();
+    const savedAt = new Map<string, number>();
     const rounds = async (from: number, to: number): Promise<void> => {
       for (let seq = from; seq < to; seq++) {
         for (const machine of ["a", "b", "c"]) {
           const tasks = lists.get(machine) ?? [];
           const token = seq === 1 ? 1 : bench.token;
           for (const task of tasks) {
-            if (seq >= (ends.get(`${task.task} ${task.attempt}`) ?? Number.POSITIVE_INFINITY))
+            if (seq >= (savedAt.get(`${task.task} ${task.attempt}`) ?? Number.POSITIVE_INFINITY))
               Object.assign(task, { state: "exited", why: "stopped" });
           }
           for (const order of await bench.report(machine, { seq, token, tasks })) {
-            const name = `${order.piece} ${order.try}`;
+            const attempt = `${order.piece} ${order.try}`;
             if (order.verb === "stop") {
-              // One after the other they have saved.
-              if (!stopped.has(name)) ends.set(name, seq + 2 + stopped.size);
-              stopped.set(name, order.windDownS);
+              // They finish saving one after the other.
+              if (!stopped.has(attempt)) savedAt.set(attempt, seq + 2 + stopped.size);
+              stopped.set(attempt, order.windDownS);
             }
             if (order.verb === "clear") {
               tasks.splice(
@@ -175,13 +181,14 @@
     await rounds(1, 10);
     assert.equal([...lists.values()].flat().length, 8);
     const urgent = { ...spec, rank, cpus, tasks: 2 };
-    if (timely) bench.timely.add("wk-000002");
+    if (onTime) bench.timely.add("wk-000002");
     bench.put({
       put: "w/j/wk-000002",
       value: header({ spec: urgent, tasks: 2, chunkSize: 2 }),
     });
     await rounds(10, 26);
     assert.equal(stopped.size, stops);
-    for (const graceS of stopped.values()) assert.ok(graceS >= 3, "they have time to save");
+    for (const graceS of stopped.values())
+      assert.ok(graceS >= 3, "each stopped task has time to save");
   });
 }
--- a/test/rental.test.ts
+++ b/test/rental.test.ts
@@ -2,7 +2,7 @@
 import { test } from "node:test";
 import { Quota } from "../src/part/quota.js";
 import { SummaryPublisher } from "../src/part/summary-publisher.js";
-import { PlacingBench } from "./support/placing.js";
+import { PlacingBench } from "./support/placement-bench.js";
 
 // Inc-dbf5 and inc-8d22: machines were rented for whatever waited, and stood idle.
 test("rental: no dear machine is asked for what a team's limit does not let run", () => {
--- a/test/submit-corpus.test.ts
+++ b/test/submit-corpus.test.ts
@@ -5,7 +5,7 @@
 import { Ad, parseExpression, print } from "../src/classad/index.js";
 import { bodiesOf, planCluster, SubmitError } from "../src/submit/index.js";
 import { parseSubmission } from "../src/wire/jobs.js";
-import { PlacingBench } from "./support/placing.js";
+import { PlacingBench } from "./support/placement-bench.js";
 import { corpusWorld, matchingOf, typeOf } from "./support/submit.js";
 
 const BASE = join(import.meta.dirname, "../../test/corpus/submit");
--- a/test/submit.test.ts
+++ b/test/submit.test.ts
@@ -25,7 +25,7 @@
 import { BY_REQUIREMENTS, type JobSpec, parseSubmission } from "../src/wire/jobs.js";
 import { kindAllowed, typeFits } from "../src/workers/machine.js";
 import { PlacementConstraints } from "../src/workers/placement-constraints.js";
-import { PlacingBench, plainSpec } from "./support/placing.js";
+import { PlacingBench, plainSpec } from "./support/placement-bench.js";
 import { extensionOf, matchingOf, NOW, textWorld, typeOf } from "./support/submit.js";
 
 const TYPES = new Map(
--- a/test/support/part-bench.ts
+++ b/test/support/part-bench.ts
@@ -15,7 +15,7 @@
 import { PlacementConstraints } from "../../src/workers/placement-constraints.js";
 import { FakeClock } from "./clock.js";
 import { bodyOf, LIMITS, NEVER_REVISED, quiet } from "./common.js";
-import { plainSpec } from "./placing.js";
+import { plainSpec } from "./placement-bench.js";
 import { Random } from "./random.js";
 import { FakeState, FakeStore } from "./store.js";
 
--- a/test/support/placing.ts
+++ b/test/support/placement-bench.ts
@@ -37,7 +37,7 @@
   deadlineS: null,
 };
 
-/** The core's placing on machines that are just there: no store, no workers, no limits. */
+/** Runs the core's placement on given machines, without a store, workers or limits. */
 export class PlacingBench {
   readonly clock = new FakeClock();
   readonly mirror: Mirror;
@@ -54,8 +54,14 @@
     const state = new FakeState(this.clock, LIMITS);
     const store = new FakeStore(state, this.clock, new Random(1), LIMITS, 1000);
     this.mirror = new Mirror(store, this.clock, quiet, 1000);
-    const listed = teams.map((name) => ({ name, cpus: 2, gpus: 0, cpus_max: 1e6, gpus_max: 1e6 }));
-    const { groups } = defaultTuning(listed);
+    const teamSettings = teams.map((name) => ({
+      name,
+      cpus: 2,
+      gpus: 0,
+      cpus_max: 1e6,
+      gpus_max: 1e6,
+    }));
+    const { groups } = defaultTuning(teamSettings);
     this.ctx = {
       index: 0,
       store,
@@ -108,12 +114,12 @@
 
   pass(): void {
     const pass = beginPass(this.ctx, this.ledger);
-    // All of them have just reported.
+    // Every machine has just reported.
     for (const machine of this.ledger.machines.values()) machine.lastSeen = this.clock.now();
     this.placement.run(pass);
   }
 
-  /** Where a job's tasks are, in order. */
+  /** The machines of a job's tasks, by task number. */
   where(id: string): string[] {
     const job = this.ledger.jobs.get(id);
     return [...(job?.chunks.values() ?? [])].flatMap((chunk) =>
@@ -123,7 +129,7 @@
     );
   }
 
-  /** Takes a job's tasks off their machines. */
+  /** Releases all allocations of a job. */
   clear(id: string): void {
     for (const chunk of this.ledger.jobs.get(id)?.chunks.values() ?? []) {
       for (const allocation of [...chunk.allocations.values()])
--- a/test/writable.test.ts
+++ b/test/writable.test.ts
@@ -6,7 +6,7 @@
 import { StoreClient, Unwritable } from "../src/state/store.js";
 import { FakeClock } from "./support/clock.js";
 import { LIMITS } from "./support/common.js";
-import { plainSpec } from "./support/placing.js";
+import { plainSpec } from "./support/placement-bench.js";
 
 const header = {
   status: "open",
