--- a/test/support/placing.ts
+++ b/test/support/placement-bench.ts
@@ -37,25 +37,31 @@
   deadlineS: null,
 };
 
-/** The core's placing on machines that are just there: no store, no workers, no limits. */
+/** Runs the core's placement on given machines, without a store, workers or limits. */
 export class PlacingBench {
   readonly clock = new FakeClock();
   readonly mirror: Mirror;
   readonly ledger: Ledger;
-  readonly placing: Placement;
+  readonly placement: Placement;
   readonly ctx: PartContext;
   #jobs = 0;
 
   constructor(
     readonly types: ReadonlyMap<string, MachineType>,
-    matching: JobMatcher | null,
+    matcher: JobMatcher | null,
     teams: readonly string[] = ["red"],
   ) {
     const state = new FakeState(this.clock, LIMITS);
     const store = new FakeStore(state, this.clock, new Random(1), LIMITS, 1000);
     this.mirror = new Mirror(store, this.clock, quiet, 1000);
-    const listed = teams.map((name) => ({ name, cpus: 2, gpus: 0, cpus_max: 1e6, gpus_max: 1e6 }));
-    const { groups } = defaultTuning(listed);
+    const teamSettings = teams.map((name) => ({
+      name,
+      cpus: 2,
+      gpus: 0,
+      cpus_max: 1e6,
+      gpus_max: 1e6,
+    }));
+    const { groups } = defaultTuning(teamSettings);
     this.ctx = {
       index: 0,
       store,
@@ -64,7 +70,7 @@
       log: quiet,
       policy: null,
       configuration: NEVER_REVISED,
-      constraints: new PlacementConstraints(matching),
+      constraints: new PlacementConstraints(matcher),
       isBorrower: () => false,
       types: () => types,
       newShareTree: () => new ShareTree(groups),
@@ -76,10 +82,10 @@
       leaseMs: 12_000,
     } as unknown as PartContext;
     this.ledger = new Ledger(this.ctx);
-    this.placing = new Placement(this.ctx, this.ledger, {
+    this.placement = new Placement(this.ctx, this.ledger, {
       fits: () => true,
-      excess: () => 0,
-      short: new Map(),
+      excessCpus: () => 0,
+      shortages: new Map(),
     } as unknown as Quota);
   }
 
@@ -89,16 +95,16 @@
   }
 
   job(spec: Partial<JobSpec>, id = `wk-${++this.#jobs}`): string {
-    const whole = { ...plainSpec, ...spec };
+    const fullSpec = { ...plainSpec, ...spec };
     const header: JobHeader = {
       status: "open",
-      spec: whole,
+      spec: fullSpec,
       owners: "0",
-      chunkSize: whole.tasks,
+      chunkSize: fullSpec.tasks,
       at: this.#jobs,
       started: false,
       moves: 0,
-      tasks: whole.tasks,
+      tasks: fullSpec.tasks,
     };
     this.mirror.apply({ key: `w/j/${id}`, value: header, version: ++this.#jobs, deleted: false });
     const { job, chunks } = this.ledger.missing(id, header)!;
@@ -108,12 +114,12 @@
 
   pass(): void {
     const pass = beginPass(this.ctx, this.ledger);
-    // All of them have just reported.
+    // Every machine has just reported.
     for (const machine of this.ledger.machines.values()) machine.lastSeen = this.clock.now();
-    this.placing.run(pass);
+    this.placement.run(pass);
   }
 
-  /** Where a job's tasks are, in order. */
+  /** The machines of a job's tasks, by task number. */
   where(id: string): string[] {
     const job = this.ledger.jobs.get(id);
     return [...(job?.chunks.values() ?? [])].flatMap((chunk) =>
@@ -123,10 +129,11 @@
     );
   }
 
-  /** Takes a job's tasks off their machines. */
+  /** Releases all allocations of a job. */
   clear(id: string): void {
     for (const chunk of this.ledger.jobs.get(id)?.chunks.values() ?? []) {
-      for (const live of [...chunk.allocations.values()]) this.ledger.release(live, false);
+      for (const allocation of [...chunk.allocations.values()])
+        this.ledger.release(allocation, false);
     }
   }
 }
