--- a/src/part/cancelled-job-cleanup.ts
+++ b/src/part/cancelled-job-cleanup.ts
@@ -5,77 +5,78 @@
 import type { PartContext } from "./context.js";
 import type { Ledger } from "./ledger.js";
 
-/** Cancelled jobs of one part whose specifications take some 300 KB of memory. */
-const MANY = 500;
+/** Cancelled jobs of one part; the specifications of so many take some 300 KB of memory. */
+const MIN_JOBS_WITHOUT_ARCHIVE = 500;
 
 /**
- * Writes into the headers of cancelled jobs that this part has nothing of them any more: once no
- * part has, a header may be archived. Nothing waits for it, so it takes only what is to spare. A
- * write that is not answered, or is applied late, does no harm: what has gone does not come back.
+ * Writes into headers of cancelled jobs that this part has released them: once all parts have, the
+ * header may be archived. Nothing depends on it soon, so it uses only spare capacity of the rate
+ * limiter. A write that is not answered, or is applied late, does no harm: a released job stays so.
  */
 export class CancelledJobCleanup {
-  readonly #left = new Set<string>();
-  #busy = false;
+  readonly #pending = new Set<string>();
+  #writing = false;
 
   constructor(
     readonly ctx: PartContext,
     readonly ledger: Ledger,
-    /** Whether a chunk of the job is still on its way here. */
-    readonly loading: (id: string) => boolean,
+    /** Whether the handover record of a chunk of the job is being read. */
+    readonly isLoading: (id: string) => boolean,
   ) {}
 
-  /** A cancelled job that names this part. */
+  /** Adds a cancelled job whose header names this part. */
   add(id: string): void {
-    this.#left.add(id);
+    this.#pending.add(id);
   }
 
-  get left(): number {
-    return this.#left.size;
+  get pendingCount(): number {
+    return this.#pending.size;
   }
 
   run(): void {
-    if (this.#busy || this.#left.size === 0) return;
-    // While there is no archive it is not worth a change. But an archive begins when there are many
-    // jobs that are over for good, which cancelled ones are only after this.
-    if (schemaOf(this.ctx.mirror).version === 1 && this.#left.size < MANY) return;
+    if (this.#writing || this.#pending.size === 0) return;
+    // Without an archive it is not worth a write for few jobs. With many it is, since an archive is
+    // begun when many jobs are fully released, which cancelled ones are only after this.
+    if (schemaOf(this.ctx.mirror).version === 1 && this.#pending.size < MIN_JOBS_WITHOUT_ARCHIVE)
+      return;
     const { writes, limits } = this.ctx.store;
-    const most = Math.min(limits.ops, Math.max(1, Math.floor(writes.burst / 4)));
-    const chosen: { key: string; version: number; header: JobHeader }[] = [];
+    const maxHeaders = Math.min(limits.ops, Math.max(1, Math.floor(writes.burst / 4)));
+    const selected: { key: string; version: number; header: JobHeader }[] = [];
     let bytes = 0;
-    for (const id of this.#left) {
-      if (this.ledger.jobs.has(id) || this.loading(id)) continue;
+    for (const id of this.#pending) {
+      if (this.ledger.jobs.has(id) || this.isLoading(id)) continue;
       const key = keys.job(id);
       const row = this.ctx.mirror.rows.get(key);
       const header = row !== undefined && isHeader(row.value) ? row.value : null;
       if (header === null || !header.owners.includes(partChar(this.ctx.index))) {
-        this.#left.delete(id);
+        this.#pending.delete(id);
         continue;
       }
-      const next = withPartReleased(header, this.ctx.index);
-      bytes += 512 + Buffer.byteLength(JSON.stringify(next));
-      if (chosen.length >= most || bytes > limits.txnBytes) break;
-      chosen.push({ key, version: row!.version, header: next });
+      const released = withPartReleased(header, this.ctx.index);
+      bytes += 512 + Buffer.byteLength(JSON.stringify(released));
+      if (selected.length >= maxHeaders || bytes > limits.txnBytes) break;
+      selected.push({ key, version: row!.version, header: released });
     }
-    if (chosen.length === 0 || !writes.take(chosen.length, writes.burst / 2)) return;
-    this.#busy = true;
-    void this.#write(chosen).finally(() => {
-      this.#busy = false;
+    if (selected.length === 0 || !writes.take(selected.length, writes.burst / 2)) return;
+    this.#writing = true;
+    void this.#write(selected).finally(() => {
+      this.#writing = false;
     });
   }
 
-  async #write(chosen: { key: string; version: number; header: JobHeader }[]): Promise<void> {
+  async #write(selected: { key: string; version: number; header: JobHeader }[]): Promise<void> {
     const { store, mirror, claim, log } = this.ctx;
     try {
       const result = await store.transact(
-        [claim, ...chosen.map(({ key, version }) => ({ key, version }))],
-        chosen.map(({ key, header }) => ({ put: key, value: header })),
+        [claim, ...selected.map(({ key, version }) => ({ key, version }))],
+        selected.map(({ key, header }) => ({ put: key, value: header })),
       );
       if (!result.ok) return;
-      for (const { key, header } of chosen) {
+      for (const { key, header } of selected) {
         mirror.apply({ key, value: header, version: result.revision, deleted: false });
       }
     } catch (error) {
-      log.debug({ why: String(error) }, "tidying waits");
+      log.debug({ why: String(error) }, "release of cancelled jobs not written; retrying");
     }
   }
 }
--- a/src/part/context.ts
+++ b/src/part/context.ts
@@ -13,41 +13,44 @@
 import type { PlacementConstraints } from "../workers/placement-constraints.js";
 import type { Summaries, Summary } from "./summary.js";
 
-/** What the owner of a part gets from the controller it runs in. */
+/** What a part's owner is given by the controller in which it runs. */
 export interface PartContext {
   index: number;
-  /** How many parts there are. */
+  /** Number of parts. */
   parts: number;
-  /** The fencing token that workers go by. */
+  /** Fencing token under which workers accept commands. */
   token: number;
-  /** The claim that makes us the owner: whatever is committed depends on it. */
+  /** This owner's claim: a condition of everything that is committed. */
   claim: Condition;
-  /** Whether the records were restored, and do not tell of all that may be running yet. */
+  /** Whether records were restored and tasks may be running that they do not contain. */
   reconcilingRestore(): boolean;
-  /** How long such tasks may run without being heard of (`restoreReconciliationMs`). */
+  /** How long such tasks may run without being reported (`restoreReconciliationMs`). */
   restoreReconciliationMs: number;
   store: Store;
   mirror: Mirror;
   clock: Clock;
   log: Log;
-  /** Whether our lease cannot have ended yet. */
+  /** Whether this owner's lease cannot have expired yet. */
   valid(): boolean;
   types(): ReadonlyMap<string, MachineType>;
   newShareTree(): ShareTree;
-  /** Whether shares are evened out, and how many times a loss that takes in waiting. */
+  /**
+   * Setting `preemption`: whether running tasks are stopped to even out shares, and how many times the
+   * work lost that way a preemptor must have waited.
+   */
   evenOut: boolean;
   patience: number;
   /** Parts whose machines may be in a zone. */
   partsOf(zone: string): number[];
-  /** Whether there is doubt that a part's owner serves: nothing is handed on to it. */
+  /** Whether a part's owner is suspected to have failed: no chunks are handed over to it. */
   ownerSuspected(part: number): boolean;
-  /** The teams' limits under the revision that is in force here. */
+  /** The teams' limits under the configuration revision in force in this controller. */
   readonly limits: ReadonlyMap<string, Amounts>;
-  /** The revision of the configuration that this controller decides by. */
+  /** The configuration revision by which this controller decides. */
   readonly configuration: DecidingBy;
-  /** Whether a team of the platform has no guarantee: all that it runs is lent to it. */
+  /** Whether a team of the platform has no guarantee: everything that it runs is lent. */
   isBorrower(team: string): boolean;
-  /** What an optional package says about placing. */
+  /** Placement policy of an optional package. */
   policy: PlacementPolicy | null;
   /** Where tasks may start. */
   constraints: PlacementConstraints;
@@ -57,19 +60,19 @@
   goneMachines: ReadonlySet<string>;
   /** Ids of the jobs of all parts that are within their team's guarantee. */
   guaranteed(): ReadonlySet<string>;
-  /** Ids of the jobs of all parts that are to be in time. */
+  /** Ids of the jobs of all parts that are to meet their due time. */
   onTime(): ReadonlySet<string>;
   targets: Targets;
-  /** Whether every controller that is there reads records as this one does. */
+  /** Whether all controllers that are present read the current record format. */
   allReadCurrentFormat(): boolean;
-  /** Which jobs wait for which. */
+  /** Dependencies between jobs. */
   pipelines: Pipelines;
-  /** Sends commands straight to a worker; whether they arrive shows in its reports. */
+  /** Sends commands directly to a worker; its reports show whether they arrived. */
   sendCommands(address: string, session: number, commands: wire.Command[]): void;
-  /** Tells the other controllers, and our own, how this part stands. */
+  /** Sends this part's summary to all controllers, this one included. */
   publishSummary(summary: Summary): void;
   reportMs: number;
   leaseMs: number;
-  /** Our claim is gone: stop at once. */
+  /** The claim was lost: the owner must stop at once. */
   onClaimLost(why: string): void;
 }
--- a/src/part/job.ts
+++ b/src/part/job.ts
@@ -6,21 +6,21 @@
 import type { Mirror } from "../state/mirror.js";
 import type { JobSpec } from "../wire/jobs.js";
 
-/** A job as far as one part has chunks of it. */
+/** A job, with those of its chunks that one part owns. */
 export class Job {
   readonly chunks = new Map<number, Chunk>();
   readonly key: string;
-  /** A copy of its own: priorities flow back along a pipeline. */
+  /** A copy, since a pipeline raises the priority of jobs that others depend on. */
   readonly spec: JobSpec;
-  /** Time of day, milliseconds. */
+  /** When it should be complete, wall clock, milliseconds. */
   due: number;
-  /** Failures in a row, on whatever machine. */
+  /** Consecutive failures of its tasks, on any machine. */
   failures = 0;
   notBefore = 0;
-  /** Time of day of acceptance. */
-  readonly at: number;
-  #last: JobHeader;
-  #calledOff = 0;
+  /** When it was accepted, wall clock, milliseconds. */
+  readonly acceptedAt: number;
+  #lastHeader: JobHeader;
+  #cancelledVersion = 0;
 
   constructor(
     readonly id: string,
@@ -31,84 +31,89 @@
     targets: Targets,
   ) {
     this.key = keys.job(id);
-    this.#last = header;
+    this.#lastHeader = header;
     this.spec = placedSpec(spec);
-    this.at = header.at;
-    this.due = dueTime(spec, this.at, targets);
+    this.acceptedAt = header.at;
+    this.due = dueTime(spec, this.acceptedAt, targets);
   }
 
   /**
-   * Always what the mirror has, together with its version. A copy of our own once went back to
-   * our last commit when its answer came after news of a later one; written on condition of that
-   * later version it undid a move, and a chunk had two owners.
+   * Always the mirror's header, which has the version to go with it. With a copy kept here, the answer
+   * to a commit that came after the watch had reported a later one reset the copy. Written on condition
+   * of the later version it undid a handover, and a chunk had two owners.
    */
   get header(): JobHeader {
     const row = this.mirror.rows.get(this.key);
-    if (row !== undefined) this.#last = row.value as JobHeader;
-    // Its header is gone: it has been over for so long that it was archived, and whoever holds this
-    // was out of touch meanwhile.
-    else if (this.#last.status === "open") this.#last = { ...this.#last, status: "cancelled" };
-    return this.#last;
+    if (row !== undefined) this.#lastHeader = row.value as JobHeader;
+    // The header was removed: the job finished and was archived while this controller had no contact
+    // with the store.
+    else if (this.#lastHeader.status === "open")
+      this.#lastHeader = { ...this.#lastHeader, status: "cancelled" };
+    return this.#lastHeader;
   }
 
-  /** Takes over what its pipeline says of it: its times, its priority and when it is due. */
-  follow(pipelines: Pipelines, targets: Targets): void {
-    const own = this.header.spec;
-    if (own === undefined) return;
-    this.spec.rank = pipelines.rank(this.id, own.rank);
-    const since = pipelines.since(this.id, this.at);
-    this.due = pipelines.due(this.id, dueTime(own, this.at, targets, since));
+  /** Updates the priority and the due time from its pipeline. */
+  updateFromPipelines(pipelines: Pipelines, targets: Targets): void {
+    const ownSpec = this.header.spec;
+    if (ownSpec === undefined) return;
+    this.spec.rank = pipelines.rank(this.id, ownSpec.rank);
+    const since = pipelines.since(this.id, this.acceptedAt);
+    this.due = pipelines.due(this.id, dueTime(ownSpec, this.acceptedAt, targets, since));
   }
 
   get open(): boolean {
     return this.header.status === "open";
   }
 
-  /** Another controller says that a version of its header, newer than ours, is a cancelled one. */
-  calledOff(version: number): boolean {
-    const known = this.mirror.rows.get(this.key)?.version ?? 0;
-    if (!this.open || version <= known) return false;
-    this.#calledOff = version;
+  /**
+   * Another controller reports that this version of the header is cancelled. Returns whether that is
+   * new: the job is open in the mirror, and the version is newer than the mirror's.
+   */
+  noteCancellation(version: number): boolean {
+    const knownVersion = this.mirror.rows.get(this.key)?.version ?? 0;
+    if (!this.open || version <= knownVersion) return false;
+    this.#cancelledVersion = version;
     return true;
   }
 
-  /** Whether tasks of it may be placed and started, as far as is known. */
+  /** Whether its tasks may be placed and started, as far as is known here. */
   get wanted(): boolean {
     if (!this.open) return false;
-    // What was said is no more than a hint: a newer header decides.
+    // The report was only a hint: a newer header decides.
     return (
-      this.#calledOff === 0 || this.#calledOff <= (this.mirror.rows.get(this.key)?.version ?? 0)
+      this.#cancelledVersion === 0 ||
+      this.#cancelledVersion <= (this.mirror.rows.get(this.key)?.version ?? 0)
     );
   }
 
-  /** Tasks that are neither done nor placed, as far as the job wants so many at a time. */
+  /** Tasks that are neither done nor placed, within the job's limit on simultaneous tasks. */
   get waiting(): number {
     let count = 0;
     for (const chunk of this.chunks.values()) count += chunk.pending;
-    return this.#wanted(count);
+    return this.#limitAtOnce(count);
   }
 
-  /** Those of them that may be placed here: not what is being handed to another part. */
+  /** Those that may be placed here: without the chunks being handed over to another part. */
   get pending(): number {
     let count = 0;
     for (const chunk of this.chunks.values()) if (chunk.movingTo === null) count += chunk.pending;
-    return this.#wanted(count);
+    return this.#limitAtOnce(count);
   }
 
-  #wanted(count: number): number {
-    const most = this.spec.match?.atOnce ?? null;
-    return most === null ? count : Math.max(0, Math.min(count, most - this.placed));
+  #limitAtOnce(count: number): number {
+    const atOnce = this.spec.match?.atOnce ?? null;
+    return atOnce === null ? count : Math.max(0, Math.min(count, atOnce - this.placed));
   }
 
-  /** Tasks that are placed here and not proved gone. */
+  /** Number of allocations here. */
   get placed(): number {
     let count = 0;
     for (const chunk of this.chunks.values()) count += chunk.allocations.size;
     return count;
   }
 
-  /** Whether a task of it was ever placed, as far as is known here. */
-  get begun(): boolean {
+  /** Whether any of its tasks was ever placed, as far as is known here. */
+  get wasEverPlaced(): boolean {
     for (const { attempts } of this.chunks.values()) if (attempts > 0) return true;
     return this.header.started;
   }
@@ -119,42 +124,42 @@
   }
 }
 
-const NOBODY: ReadonlySet<string> = new Set();
+const NO_JOBS: ReadonlySet<string> = new Set();
 
 /**
- * Jobs that have waited for longer than a lease without any task of theirs having begun. Their first
- * task comes before the next one of jobs of the same priority that have some: it costs those one
- * place, and without it one huge job held all room of its team while hundreds of small ones had not
- * begun (inc-8d22), or small ones that keep coming the room of a huge one.
+ * Jobs that have waited for longer than a lease without any task having begun. Their first task is
+ * placed before further tasks of jobs of the same priority, which costs those one place. Without this
+ * rule one huge job used all resources of its team while hundreds of small ones had not begun
+ * (inc-8d22), or a steady stream of small jobs kept a huge one from starting.
  */
 export function neglectedOf(jobs: Iterable<Job>, now: number, leaseMs: number): Set<string> {
-  const neglected = new Set<string>();
+  const longUnstarted = new Set<string>();
   for (const job of jobs) {
-    if (now - job.waitingSince > leaseMs && !job.begun) neglected.add(job.id);
+    if (now - job.waitingSince > leaseMs && !job.wasEverPlaced) longUnstarted.add(job.id);
   }
-  return neglected;
+  return longUnstarted;
 }
 
 /**
- * Inside a team: jobs that are to be in time, by priority and by when they are due; then the rest,
- * by priority and age. Who is late already, and would have been first, gains nothing by making
- * others late.
+ * Order of jobs within a team: on-time jobs by priority and due time, then the others by priority and
+ * age. A job that is late already would be first by due time, but comes after them: it gains nothing
+ * by making others late.
  */
 export function byUrgency(
   a: Job,
   b: Job,
-  timely: ReadonlySet<string>,
-  neglected: ReadonlySet<string> = NOBODY,
+  onTime: ReadonlySet<string>,
+  longUnstarted: ReadonlySet<string> = NO_JOBS,
 ): number {
-  if (a.spec.rank === b.spec.rank && neglected.has(a.id) !== neglected.has(b.id)) {
-    return neglected.has(a.id) ? -1 : 1;
+  if (a.spec.rank === b.spec.rank && longUnstarted.has(a.id) !== longUnstarted.has(b.id)) {
+    return longUnstarted.has(a.id) ? -1 : 1;
   }
-  const inTime = timely.has(a.id);
-  if (inTime !== timely.has(b.id)) return inTime ? -1 : 1;
+  const onTimeA = onTime.has(a.id);
+  if (onTimeA !== onTime.has(b.id)) return onTimeA ? -1 : 1;
   if (a.spec.rank !== b.spec.rank) return b.spec.rank - a.spec.rank;
-  return inTime && a.due !== b.due ? a.due - b.due : a.at - b.at;
+  return onTimeA && a.due !== b.due ? a.due - b.due : a.acceptedAt - b.acceptedAt;
 }
 
-/** The priority that counts: whoever cannot be in time has none against those who can. */
-export const rankOf = (job: Job, timely: ReadonlySet<string>): number =>
-  timely.has(job.id) ? job.spec.rank : 0;
+/** Effective priority: that of the job if it can be on time, else the lowest. */
+export const rankOf = (job: Job, onTime: ReadonlySet<string>): number =>
+  onTime.has(job.id) ? job.spec.rank : 0;
--- a/src/part/ledger.ts
+++ b/src/part/ledger.ts
@@ -7,17 +7,17 @@
 import type { PartContext } from "./context.js";
 import { Job, rankOf } from "./job.js";
 
-export interface Found {
+export interface FoundTask {
   job: Job;
   chunk: Chunk;
   index: number;
 }
 
-/** By priority, from the lowest. */
+/** Resources that a team uses and waits for, by priority from the lowest. */
 export interface Demand {
   cpus: number[];
   gpus: number[];
-  /** The CPUs of the largest task that waits. */
+  /** CPUs of the largest waiting task. */
   largest: number;
 }
 
@@ -30,50 +30,54 @@
 export const ZERO: Amounts = { cpus: 0, gpus: 0 };
 
 /**
- * The part's jobs and machines, and which task is where. A task is placed and released here and
- * nowhere else, so that chunks, machines and the teams' use cannot disagree.
+ * The part's jobs, machines and allocations. Tasks are placed and released only here, so that the
+ * records of chunks, machines and team usage stay consistent.
  */
 export class Ledger {
   readonly machines = new Map<string, Machine>();
   readonly jobs = new Map<string, Job>();
-  /** By team: tasks placed and not proved gone. */
+  /** Resources of the allocations, by team. */
   readonly use = new Map<string, Amounts>();
 
-  /** Counts what the store may have to be told of: as long as it stays, there is nothing to write. */
-  changes = 1;
-  #longestName = 0;
+  /** Counts changes that may have to be stored. While it stays the same there is nothing to write. */
+  changeCount = 1;
+  #longestMachineName = 0;
 
   constructor(readonly ctx: PartContext) {}
 
   /**
-   * How many tasks of one chunk may be placed at a time, so that its state fits a page however long
-   * the names of machines are: each takes its name, two numbers and what separates them.
+   * Most allocations that a chunk may have for its state to fit a page, also with long machine names.
+   * Each one takes a machine name, two numbers and separators.
    */
-  get mostLive(): number {
-    const bytes = maxPageBytes(this.ctx.store.limits) - 1024;
-    return Math.max(1, Math.floor((bytes * 0.75) / (this.#longestName + 20)));
+  get maxAllocationsPerChunk(): number {
+    const pageBytes = maxPageBytes(this.ctx.store.limits) - 1024;
+    return Math.max(1, Math.floor((pageBytes * 0.75) / (this.#longestMachineName + 20)));
   }
 
-  /** Whether a chunk's state still fits a page with one more task on a machine. */
+  /** Whether a chunk's state still fits a page with one more allocation on a machine. */
   holds(chunk: Chunk, machine: string): boolean {
-    const { allocations: live } = chunk;
-    if (live.size < this.mostLive) return true;
-    const bytes = maxPageBytes(this.ctx.store.limits);
-    if (bytes >= 8192) return false;
-    // Small values: what it takes is counted, with each machine named once.
+    const { allocations } = chunk;
+    if (allocations.size < this.maxAllocationsPerChunk) return true;
+    const pageBytes = maxPageBytes(this.ctx.store.limits);
+    if (pageBytes >= 8192) return false;
+    // With small values the size is estimated more closely: a page contains each machine name once.
     const names = new Set([machine]);
-    for (const other of live.values()) names.add(other.machine);
-    const done = 4 * Math.min(chunk.doneCount, chunk.size - chunk.doneCount) + 16;
-    const item = 3 + String(chunk.size).length + String(chunk.attempts + 1).length + 3;
-    const all = 256 + done + (live.size + 1) * item + names.size * (this.#longestName + 3);
-    return all <= bytes * 0.9;
+    for (const other of allocations.values()) names.add(other.machine);
+    const doneBytes = 4 * Math.min(chunk.doneCount, chunk.size - chunk.doneCount) + 16;
+    const allocationBytes = 3 + String(chunk.size).length + String(chunk.attempts + 1).length + 3;
+    const stateBytes =
+      256 +
+      doneBytes +
+      (allocations.size + 1) * allocationBytes +
+      names.size * (this.#longestMachineName + 3);
+    return stateBytes <= pageBytes * 0.9;
   }
 
-  /** The chunks of a job that are ours by its header and that are not here yet. */
+  /** Chunks of a job that its header gives to this part and that are not loaded yet. */
   missing(id: string, header: JobHeader): { job: Job; chunks: number[] } | null {
     if (header.spec === undefined) return null;
-    const mine = partChar(this.ctx.index);
-    if (!header.owners.includes(mine)) return null;
+    const ownerChar = partChar(this.ctx.index);
+    if (!header.owners.includes(ownerChar)) return null;
     let job = this.jobs.get(id);
     if (job === undefined) {
       const { mirror, clock, targets } = this.ctx;
@@ -82,19 +86,19 @@
     }
     const chunks: number[] = [];
     for (let i = 0; i < header.owners.length; i++) {
-      if (header.owners[i] === mine && !job.chunks.has(i)) chunks.push(i);
+      if (header.owners[i] === ownerChar && !job.chunks.has(i)) chunks.push(i);
     }
     return { job, chunks };
   }
 
-  /** What pipelines say of the jobs in them, for the pass that begins. */
-  follow(): void {
+  /** Updates the jobs of pipelines at the start of a pass. */
+  updateFromPipelines(): void {
     const { pipelines, targets, clock } = this.ctx;
     for (const id of pipelines.ids) {
       const job = this.jobs.get(id);
       if (job === undefined) continue;
-      job.follow(pipelines, targets);
-      // It begins to wait for room when it has waited for all others.
+      job.updateFromPipelines(pipelines, targets);
+      // Waiting for resources only begins once the jobs that it depends on are finished.
       if (pipelines.waits(id)) job.waitingSince = clock.now();
     }
   }
@@ -107,24 +111,24 @@
     const chunk = new Chunk(job.id, job.spec, index, first, size, now);
     if (state !== null) {
       chunk.load(state, now);
-      for (const live of chunk.allocations.values()) {
-        this.machine(live.machine).allocations.set(live.task, live);
+      for (const allocation of chunk.allocations.values()) {
+        this.machine(allocation.machine).allocations.set(allocation.task, allocation);
         this.#charge(job.spec, 1);
       }
     }
     job.chunks.set(index, chunk);
-    this.changes++;
+    this.changeCount++;
     return chunk;
   }
 
   drop(chunk: Chunk): void {
     const job = this.jobs.get(chunk.job);
     if (job === undefined || !job.chunks.delete(chunk.index)) return;
-    this.changes++;
+    this.changeCount++;
     if (job.chunks.size === 0) this.jobs.delete(chunk.job);
   }
 
-  find(task: string): Found | null {
+  find(task: string): FoundTask | null {
     const slash = task.lastIndexOf("/");
     const job = this.jobs.get(task.slice(0, slash));
     if (job === undefined) return null;
@@ -137,7 +141,7 @@
     let machine = this.machines.get(id);
     if (machine === undefined) {
       machine = new Machine(id, this.ctx.clock.now());
-      this.#longestName = Math.max(this.#longestName, id.length);
+      this.#longestMachineName = Math.max(this.#longestMachineName, id.length);
       this.machines.set(id, machine);
     }
     return machine;
@@ -145,29 +149,29 @@
 
   place(job: Job, chunk: Chunk, index: number, machine: Machine): void {
     const now = this.ctx.clock.now();
-    const live = chunk.place(index, machine.id, now);
-    this.changes++;
-    machine.allocations.set(live.task, live);
+    const allocation = chunk.place(index, machine.id, now);
+    this.changeCount++;
+    machine.allocations.set(allocation.task, allocation);
     if (job.spec.image !== null) machine.images.add(job.spec.image);
     machine.invalidateFreeResources();
-    const kept = machine.reserved.get(job.id);
-    if (kept !== undefined && --kept.tasks === 0) machine.reserved.delete(job.id);
+    const reservation = machine.reserved.get(job.id);
+    if (reservation !== undefined && --reservation.tasks === 0) machine.reserved.delete(job.id);
     this.#charge(job.spec, 1);
-    // It is being served: what is left of it starts to wait anew.
+    // The job makes progress: waiting starts anew for its remaining tasks.
     job.waitingSince = now;
   }
 
-  /** The task is proved gone; says whether it had been counted here until now. */
-  release(live: Allocation, completed: boolean): boolean {
-    const { chunk } = live;
-    if (chunk.allocations.get(live.index) !== live) return false;
+  /** Releases an allocation that is proved gone. False if it had been released before. */
+  release(allocation: Allocation, completed: boolean): boolean {
+    const { chunk } = allocation;
+    if (chunk.allocations.get(allocation.index) !== allocation) return false;
     const now = this.ctx.clock.now();
-    chunk.release(live, completed);
-    this.changes++;
+    chunk.release(allocation, completed);
+    this.changeCount++;
     this.#charge(chunk.spec, -1);
-    const machine = this.machines.get(live.machine);
+    const machine = this.machines.get(allocation.machine);
     if (machine !== undefined) {
-      machine.allocations.delete(live.task);
+      machine.allocations.delete(allocation.task);
       machine.invalidateFreeResources();
       if (machine.allocations.size === 0) machine.idleSince = now;
     }
@@ -176,26 +180,26 @@
     return true;
   }
 
-  /** CPUs of all tasks that wait here; what yields presses on nobody. */
+  /** CPUs of all waiting tasks, without those of preemptible teams. */
   get waitingCpus(): number {
-    const { policy: rules, constraints: places } = this.ctx;
+    const { policy, constraints } = this.ctx;
     let sum = 0;
     for (const job of this.jobs.values()) {
-      if (places.cannotStart(job.id, job.spec)) continue;
-      if (job.open && rules?.preemptible(job.spec.team) !== true)
+      if (constraints.cannotStart(job.id, job.spec)) continue;
+      if (job.open && policy?.preemptible(job.spec.team) !== true)
         sum += job.waiting * job.spec.cpus;
     }
     return Math.round(sum);
   }
 
-  /** By team, what its tasks here use and wait for, by priority from the lowest. */
+  /** By team, what its tasks here use and wait for. */
   demand(): Map<string, Demand> {
     const sums = new Map<string, Demand>();
-    const timely = this.ctx.onTime();
+    const onTime = this.ctx.onTime();
     for (const job of this.jobs.values()) {
       const { spec, waiting, chunks } = job;
       const open = job.open && !this.ctx.constraints.cannotStart(job.id, spec);
-      const rank = rankOf(job, timely);
+      const rank = rankOf(job, onTime);
       let count = open ? waiting : 0;
       for (const chunk of chunks.values()) count += chunk.allocations.size;
       let sum = sums.get(spec.team);
@@ -213,7 +217,7 @@
   #charge(spec: JobSpec, sign: 1 | -1): void {
     const amounts = { cpus: sign * spec.cpus, gpus: sign * spec.gpus };
     const use = addAmounts(this.use.get(spec.team) ?? ZERO, amounts);
-    // What adding and taking away leave of a task that is gone is no use, and may be below zero.
+    // Floating-point error may leave a tiny remainder, even below zero, after tasks are gone.
     if (Math.abs(use.cpus) < EPSILON) use.cpus = 0;
     if (Math.abs(use.gpus) < EPSILON) use.gpus = 0;
     this.use.set(spec.team, use);
--- a/src/part/part.ts
+++ b/src/part/part.ts
@@ -8,7 +8,7 @@
 import type * as wire from "../wire/workers.js";
 import { starvedOf, withdrawAllowances } from "./allowances.js";
 import { CancelledJobCleanup } from "./cancelled-job-cleanup.js";
-import { type CommitResult, Committer, ONLY_WATCHED } from "./committer.js";
+import { type CommitResult, Committer, WATCH_ORDERED_KEYS } from "./committer.js";
 import type { PartContext } from "./context.js";
 import { type Inspected, Inspector, type PartInspection } from "./inspect.js";
 import type { Job } from "./job.js";
@@ -34,31 +34,31 @@
   | { kind: "gone"; machines: readonly string[] }
   | { kind: "moved"; job: string; chunk: number; row: Row | null }
   | { kind: "tick" }
-  | { kind: "settled"; outcome: CommitResult }
+  | { kind: "settled"; result: CommitResult }
   | { kind: "stop" };
 
 /**
- * Owns one part: the machines hashed into it and the chunks of jobs given to it. Everything it
- * decides is committed on condition of its claim's version before it takes effect.
+ * Owner of one part: of the machines hashed into it and the chunks of jobs assigned to it. Each
+ * decision is committed, on condition of the claim's version, before it takes effect.
  */
 export class Part extends Actor<PartMessage> {
   readonly #ledger: Ledger;
   readonly #quota: Quota;
   readonly #workers: Workers;
-  readonly #placing: Placement;
-  readonly #balancing: Rebalancing;
-  readonly #preempting: Preemption;
-  readonly #commits: Committer;
-  readonly #tidying: CancelledJobCleanup;
-  readonly #sweep: OrphanSweep;
+  readonly #placement: Placement;
+  readonly #rebalancing: Rebalancing;
+  readonly #preemption: Preemption;
+  readonly #committer: Committer;
+  readonly #cancelledJobCleanup: CancelledJobCleanup;
+  readonly #orphanSweep: OrphanSweep;
   readonly #inspector: Inspector;
-  readonly #settling: RestoreReconciliation;
+  readonly #restoreReconciliation: RestoreReconciliation;
   readonly #quarantine: Quarantine;
-  readonly #announcing: SummaryPublisher;
-  readonly #loading = new Set<string>();
-  #tickAt = 0;
-  #timerSet = false;
-  #lastTick = Number.NEGATIVE_INFINITY;
+  readonly #summaryPublisher: SummaryPublisher;
+  readonly #loadingHandovers = new Set<string>();
+  #nextTickAt = 0;
+  #tickScheduled = false;
+  #lastTickAt = Number.NEGATIVE_INFINITY;
 
   constructor(
     readonly ctx: PartContext,
@@ -68,57 +68,59 @@
     this.#ledger = new Ledger(ctx);
     this.#quota = new Quota(ctx, this.#ledger);
     this.#workers = new Workers(ctx, this.#ledger, (urgent) =>
-      this.#soon(urgent ? 0 : ctx.reportMs / 10),
+      this.#scheduleTick(urgent ? 0 : ctx.reportMs / 10),
     );
-    this.#placing = new Placement(ctx, this.#ledger, this.#quota);
-    this.#balancing = new Rebalancing(ctx);
-    this.#preempting = new Preemption(ctx, this.#ledger, this.#quota, this.#workers);
-    this.#commits = new Committer(
+    this.#placement = new Placement(ctx, this.#ledger, this.#quota);
+    this.#rebalancing = new Rebalancing(ctx);
+    this.#preemption = new Preemption(ctx, this.#ledger, this.#quota, this.#workers);
+    this.#committer = new Committer(
       ctx,
       this.#ledger,
       this.#quota,
-      (outcome) => this.tell({ kind: "settled", outcome }),
+      (result) => this.tell({ kind: "settled", result }),
       () => this.stopped,
     );
     this.#quarantine = new Quarantine(ctx);
-    this.#announcing = new SummaryPublisher(ctx, this.#ledger, this.#quota);
-    this.#settling = new RestoreReconciliation(ctx, this.#ledger);
+    this.#summaryPublisher = new SummaryPublisher(ctx, this.#ledger, this.#quota);
+    this.#restoreReconciliation = new RestoreReconciliation(ctx, this.#ledger);
     this.#inspector = new Inspector(
       ctx,
       this.#ledger,
       this.#quota,
-      () => this.#placing.priorityFloors,
+      () => this.#placement.priorityFloors,
     );
-    this.#sweep = new OrphanSweep(
+    this.#orphanSweep = new OrphanSweep(
       ctx,
       (id, chunk) => {
         if (this.jobs.get(id)?.chunks.has(chunk) === true) return "here";
-        if (this.#loading.has(keys.handover(ctx.index, id, chunk))) return "on its way";
-        return this.#quarantine.doubtful(chunkName(id, chunk)) ? "left alone" : null;
+        if (this.#loadingHandovers.has(keys.handover(ctx.index, id, chunk))) return "being loaded";
+        return this.#quarantine.mayAffect(chunkName(id, chunk)) ? "in quarantine" : null;
       },
       (id, header) => this.#onHeader(id, header),
     );
-    this.#tidying = new CancelledJobCleanup(ctx, this.#ledger, (id) => this.#awaits(id));
-    const kept = readRecords(records, ctx.index, this.#commits, this.#quarantine);
+    this.#cancelledJobCleanup = new CancelledJobCleanup(ctx, this.#ledger, (id) =>
+      this.#isLoading(id),
+    );
+    const storedChunks = readRecords(records, ctx.index, this.#committer, this.#quarantine);
     for (const [key, row] of ctx.mirror.rows) {
       if (key.startsWith(JOB_HEADER_PREFIX) && isHeader(row.value))
-        this.#takeIn(key.slice(JOB_HEADER_PREFIX.length), row.value, kept);
+        this.#adoptMissing(key.slice(JOB_HEADER_PREFIX.length), row.value, storedChunks);
     }
-    this.#quarantine.loaded();
-    for (const [name, { state, pages }] of kept) {
+    this.#quarantine.finishLoading();
+    for (const [name, { state, pages }] of storedChunks) {
       const [page] = pages;
-      if (page === undefined || this.#adopted(name)) continue;
-      // A page that is too large to be written still has what has gone from here since.
-      if (this.#commits.isLarge(page) && this.#elsewhere(name)) continue;
-      this.#commits.keepRaw(page, name, state);
+      if (page === undefined || this.#isAdopted(name)) continue;
+      // An oversized page is not rewritten, so it still contains chunks that have left this part.
+      if (this.#committer.isOversized(page) && this.#isNotOwnedHere(name)) continue;
+      this.#committer.keepUnowned(page, name, state);
     }
-    // Machines returned before our time: nothing of theirs is left.
-    for (const machine of ctx.goneMachines) this.#workers.gone(machine);
+    // Machines returned to the cloud under an earlier owner: nothing runs there any more.
+    for (const machine of ctx.goneMachines) this.#workers.onMachineGone(machine);
     ctx.log.info(
       { part: ctx.index, token: ctx.token, jobs: this.jobs.size, machines: this.machines },
       "part taken over",
     );
-    this.#soon(0);
+    this.#scheduleTick(0);
   }
 
   get jobs(): ReadonlyMap<string, Job> {
@@ -129,17 +131,17 @@
     return this.#ledger.machines.size;
   }
 
-  /** When a worker last showed that it had taken an answer of ours. */
+  /** When a worker last showed that it had received an answer from this owner. */
   get servedAt(): number {
     return this.#workers.servedAt;
   }
 
-  /** For people: how one job, or what stands still, is doing here. */
-  inspect(which: Inspected): PartInspection {
-    return this.#inspector.part(which);
+  /** For users and operators: the state here of one job, or of all that make no progress. */
+  inspect(query: Inspected): PartInspection {
+    return this.#inspector.part(query);
   }
 
-  /** Whether most machines that followed us have fallen silent together. */
+  /** Whether most machines that have this owner's token fell silent together. */
   mostMachinesSilent(): boolean {
     return this.#workers.mostMachinesSilent();
   }
@@ -153,21 +155,21 @@
         this.#onHeader(message.id, message.header);
         break;
       case "called off":
-        this.#calledOff(message.id, message.version);
+        this.#onCancellationHint(message.id, message.version);
         break;
       case "gone":
-        for (const machine of message.machines) this.#workers.gone(machine);
-        this.#soon();
+        for (const machine of message.machines) this.#workers.onMachineGone(machine);
+        this.#scheduleTick();
         break;
       case "moved":
-        this.#onMoved(message.job, message.chunk, message.row);
+        this.#onHandover(message.job, message.chunk, message.row);
         break;
       case "tick":
-        this.#timerSet = false;
+        this.#tickScheduled = false;
         this.#tick();
         break;
       case "settled":
-        this.#onSettled(message.outcome);
+        this.#onCommitResult(message.result);
         break;
       case "stop":
         this.halt();
@@ -180,81 +182,85 @@
 
   #onHeader(id: string, header: JobHeader): void {
     const job = this.jobs.get(id);
-    if (job !== undefined) this.#ledger.changes++;
-    this.#takeIn(id, header, null);
+    if (job !== undefined) this.#ledger.changeCount++;
+    this.#adoptMissing(id, header, null);
     if (header.status === "cancelled" && job !== undefined) this.#workers.cancel(job);
-    this.#soon();
+    this.#scheduleTick();
   }
 
   /**
-   * Stops at once what its user has called off, also while the store tells us nothing. This only makes
-   * it sooner: that nothing runs for longer than `cancel_s` rests on the bound on contact alone, which
-   * hearing from other controllers never lengthens.
+   * Another controller reports a cancellation: stops the job's tasks at once, also while the watch
+   * brings nothing. This is only an acceleration. That nothing runs for longer than `cancel_s`
+   * follows from the limit on time without contact alone; messages of peers never extend that limit.
    */
-  #calledOff(id: string, version: number): void {
+  #onCancellationHint(id: string, version: number): void {
     const job = this.jobs.get(id);
-    if (job === undefined || !job.calledOff(version)) return;
+    if (job === undefined || !job.noteCancellation(version)) return;
     this.#workers.cancel(job);
-    this.#soon();
+    this.#scheduleTick();
   }
 
-  /** Adopts the chunks of a job that are ours and that we do not have yet. */
-  #takeIn(id: string, header: JobHeader, records: Map<string, StoredChunk> | null): void {
+  /** Adopts the chunks of a job that its header gives to this part and that are not loaded yet. */
+  #adoptMissing(
+    id: string,
+    header: JobHeader,
+    storedChunks: Map<string, StoredChunk> | null,
+  ): void {
     const missing = this.#ledger.missing(id, header);
     if (missing === null) return;
-    if (header.status === "cancelled") this.#tidying.add(id);
+    if (header.status === "cancelled") this.#cancelledJobCleanup.add(id);
     const { job, chunks } = missing;
     for (const i of chunks) {
       const key = keys.handover(this.ctx.index, id, i);
       const name = chunkName(id, i);
-      const kept = records?.get(name) ?? null;
-      if (kept === null && this.#quarantine.doubtful(name)) continue;
-      if (kept !== null || header.moves === 0) this.#adopt(job, i, kept);
-      else if (!this.#loading.has(key)) {
-        // It came from another part, which may have left a record of what is done already.
-        this.#loading.add(key);
-        void this.#fetchMoved(id, i, key);
+      const storedChunk = storedChunks?.get(name) ?? null;
+      if (storedChunk === null && this.#quarantine.mayAffect(name)) continue;
+      if (storedChunk !== null || header.moves === 0) this.#adopt(job, i, storedChunk);
+      else if (!this.#loadingHandovers.has(key)) {
+        // The chunk may come from another part that left a handover record with its completed tasks.
+        this.#loadingHandovers.add(key);
+        void this.#fetchHandover(id, i, key);
       }
     }
     if (header.status === "cancelled") this.#workers.cancel(job);
   }
 
-  /** Whether a chunk of a job is on its way here from another part. */
-  #awaits(id: string): boolean {
+  /** Whether the handover record of a chunk of the job is being read. */
+  #isLoading(id: string): boolean {
     const prefix = `${keys.records(this.ctx.index)}m/${id}/`;
-    for (const key of this.#loading) if (key.startsWith(prefix)) return true;
+    for (const key of this.#loadingHandovers) if (key.startsWith(prefix)) return true;
     return false;
   }
 
-  /** Whether a header says that a chunk is over, or another part's. */
-  #elsewhere(name: string): boolean {
+  /** Whether a header says that a chunk is finished, or belongs to another part. */
+  #isNotOwnedHere(name: string): boolean {
     const slash = name.lastIndexOf("/");
     const header = this.ctx.mirror.rows.get(keys.job(name.slice(0, slash)))?.value;
     const owner = isHeader(header) ? header.owners[Number(name.slice(slash + 1))] : undefined;
     return isHeader(header) && owner !== partChar(this.ctx.index);
   }
 
-  #adopted(name: string): boolean {
+  #isAdopted(name: string): boolean {
     const slash = name.lastIndexOf("/");
     return this.jobs.get(name.slice(0, slash))?.chunks.has(Number(name.slice(slash + 1))) === true;
   }
 
-  #adopt(job: Job, index: number, kept: StoredChunk | null): void {
-    const chunk = this.#ledger.adopt(job, index, kept?.state ?? null);
-    const { limits, policy: rules } = this.ctx;
-    if (!limits.has(job.spec.team) && rules?.preemptible(job.spec.team) !== true) {
-      // A guest of a package that has been switched off: nobody would ever end its tasks.
-      for (const live of chunk.allocations.values())
-        this.#workers.stop(live, job.spec.saveS, "no team");
+  #adopt(job: Job, index: number, storedChunk: StoredChunk | null): void {
+    const chunk = this.#ledger.adopt(job, index, storedChunk?.state ?? null);
+    const { limits, policy } = this.ctx;
+    if (!limits.has(job.spec.team) && policy?.preemptible(job.spec.team) !== true) {
+      // A guest team of a package that has been disabled: nothing else would end its tasks.
+      for (const allocation of chunk.allocations.values())
+        this.#workers.stop(allocation, job.spec.saveS, "no team");
     }
-    if (kept === null) return;
-    const [page = null, ...more] = kept.pages;
+    if (storedChunk === null) return;
+    const [page = null, ...extraPages] = storedChunk.pages;
     chunk.page = page;
-    chunk.extraPages = more;
-    chunk.handoverVersion = kept.handover;
+    chunk.extraPages = extraPages;
+    chunk.handoverVersion = storedChunk.handoverVersion;
   }
 
-  async #fetchMoved(job: string, chunk: number, key: string): Promise<void> {
+  async #fetchHandover(job: string, chunk: number, key: string): Promise<void> {
     while (!this.stopped) {
       try {
         const row = await this.ctx.store.get(key);
@@ -266,101 +272,107 @@
     }
   }
 
-  #onMoved(id: string, index: number, row: Row | null): void {
-    this.#loading.delete(keys.handover(this.ctx.index, id, index));
+  #onHandover(id: string, index: number, row: Row | null): void {
+    this.#loadingHandovers.delete(keys.handover(this.ctx.index, id, index));
     const job = this.jobs.get(id);
     if (job === undefined || job.chunks.has(index)) return;
     if (job.header.owners[index] !== partChar(this.ctx.index)) return;
     const states = row === null ? null : readPage(row.value);
     const state = states?.get(chunkName(id, index));
     if (row !== null && state === undefined) {
-      // What it brought along cannot be read: it may be running somewhere.
-      this.#quarantine.record(row.key);
+      // The handover record cannot be read: tasks of the chunk may be running.
+      this.#quarantine.add(row.key);
       return;
     }
-    const kept =
+    const storedChunk =
       row === null || state === undefined
         ? null
-        : { state, pages: [], handover: row.version, version: row.version };
-    this.#adopt(job, index, kept);
+        : { state, pages: [], handoverVersion: row.version, version: row.version };
+    this.#adopt(job, index, storedChunk);
     if (!job.open) this.#workers.cancel(job);
-    this.#soon();
+    this.#scheduleTick();
   }
 
-  // ---- the regular work ------------------------------------------------------------------
+  // ---- periodic pass ---------------------------------------------------------------------
 
   /**
-   * A tick soon: changes that come close together are handled as one, and however many reports
-   * come in, a pass over all jobs follows the one before only after a while.
+   * Schedules a tick. Changes in close succession share one, and there is a minimum interval between
+   * passes over all jobs, however many reports arrive.
    */
-  #soon(inMs = this.ctx.reportMs / 40): void {
+  #scheduleTick(inMs = this.ctx.reportMs / 40): void {
     if (this.stopped) return;
     const now = this.ctx.clock.now();
-    const due = Math.max(now + inMs, this.#lastTick + this.ctx.reportMs / 25);
-    if (this.#timerSet && this.#tickAt <= due) return;
-    this.#timerSet = true;
-    this.#tickAt = due;
-    this.ctx.clock.after(due - now, () => {
-      if (this.#timerSet && this.#tickAt === due) this.tell({ kind: "tick" });
+    const dueAt = Math.max(now + inMs, this.#lastTickAt + this.ctx.reportMs / 25);
+    if (this.#tickScheduled && this.#nextTickAt <= dueAt) return;
+    this.#tickScheduled = true;
+    this.#nextTickAt = dueAt;
+    this.ctx.clock.after(dueAt - now, () => {
+      if (this.#tickScheduled && this.#nextTickAt === dueAt) this.tell({ kind: "tick" });
     });
   }
 
   #tick(): void {
-    this.#lastTick = this.ctx.clock.now();
-    this.#soon(this.ctx.reportMs / 4);
-    const { policy: rules, constraints: places } = this.ctx;
-    // Allowances end by the clock, also while the store or the other controllers are out of reach:
-    // an owner that is no longer sure of its claim may still stop what has no right to run.
-    if (rules !== null) withdrawAllowances(rules, this.ctx, this.#ledger, this.#workers);
+    this.#lastTickAt = this.ctx.clock.now();
+    this.#scheduleTick(this.ctx.reportMs / 4);
+    const { policy, constraints } = this.ctx;
+    // Allowances expire by the clock, also while the store or other controllers are unreachable: an
+    // owner whose lease may have ended may still stop tasks that exceed their team's allowance.
+    if (policy !== null) withdrawAllowances(policy, this.ctx, this.#ledger, this.#workers);
     if (!this.ctx.valid()) {
-      this.#workers.sendOrders();
+      this.#workers.sendQueuedCommands();
       return;
     }
-    if (places.matcher !== null) {
+    if (constraints.matcher !== null) {
       enforceHoldsAndRunLimits(
-        places.matcher,
+        constraints.matcher,
         this.ctx.clock.now(),
         this.#ledger,
         this.#workers,
         this.ctx.reportMs,
       );
     }
-    this.#ledger.follow();
+    this.#ledger.updateFromPipelines();
     this.#quota.begin();
     if (this.ctx.reconcilingRestore()) {
-      this.#workers.sendOrders();
-      this.#announcing.run();
-      if (!this.#commits.flush()) this.#soon(this.ctx.reportMs / 10);
-      this.#settling.run();
+      this.#workers.sendQueuedCommands();
+      this.#summaryPublisher.run();
+      if (!this.#committer.flush()) this.#scheduleTick(this.ctx.reportMs / 10);
+      this.#restoreReconciliation.run();
       return;
     }
     const pass = beginPass(this.ctx, this.#ledger);
-    const blocked = this.#placing.run(pass);
-    if (rules !== null)
-      this.#announcing.starved = starvedOf(blocked, this.#quota, { rules, places }, pass);
+    const blocked = this.#placement.run(pass);
+    if (policy !== null)
+      this.#summaryPublisher.starved = starvedOf(
+        blocked,
+        this.#quota,
+        { rules: policy, places: constraints },
+        pass,
+      );
     if (blocked.length > 0) {
-      // Where there is room elsewhere, nothing has to be stopped here.
-      if (this.#balancing.run(blocked, pass, this.#ledger.waitingCpus)) this.#ledger.changes++;
-      this.#preempting.run(blocked, pass);
+      // Chunks that fit into another part need no preemption here.
+      if (this.#rebalancing.run(blocked, pass, this.#ledger.waitingCpus))
+        this.#ledger.changeCount++;
+      this.#preemption.run(blocked, pass);
     }
-    this.#workers.sendOrders();
-    this.#announcing.run();
-    if (!this.#commits.flush()) this.#soon(this.ctx.reportMs / 10);
-    this.#tidying.run();
-    this.#sweep.run();
+    this.#workers.sendQueuedCommands();
+    this.#summaryPublisher.run();
+    if (!this.#committer.flush()) this.#scheduleTick(this.ctx.reportMs / 10);
+    this.#cancelledJobCleanup.run();
+    this.#orphanSweep.run();
   }
 
-  #onSettled(outcome: CommitResult): void {
-    const { batch, revision, rows } = outcome;
+  #onCommitResult(result: CommitResult): void {
+    const { batch, revision, rows } = result;
     const { mirror, log } = this.ctx;
-    this.#commits.settled(outcome);
+    this.#committer.applyResult(result);
     if (revision === null) {
       for (const row of rows) {
-        if (row.key.startsWith("w/") && !ONLY_WATCHED.has(row.key)) {
+        if (row.key.startsWith("w/") && !WATCH_ORDERED_KEYS.has(row.key)) {
           mirror.apply({ ...row, deleted: false });
         }
       }
-      this.#soon(this.ctx.reportMs / 40);
+      this.#scheduleTick(this.ctx.reportMs / 40);
       return;
     }
     for (const { key, record } of batch.slices) {
@@ -371,17 +383,17 @@
       mirror.apply({ key: keys.job(id), value: header, version: revision, deleted: false });
       if (header.status === "done") log.info({ job: id }, "job done");
     }
-    for (const { chunk, page } of batch.saves) if (page === null) this.#returned(chunk.job);
-    this.#workers.answerSettled();
-    this.#soon();
+    for (const { chunk, page } of batch.saves) if (page === null) this.#adoptReturned(chunk.job);
+    this.#workers.answerCommitted();
+    this.#scheduleTick();
   }
 
   /**
-   * Takes in what has left here and come back before this owner knew that it had left: the answer was
-   * lost, and the news of its return found it still here. Without this nobody placed it any more.
+   * Adopts a chunk that left and came back before this owner knew that it had left: the commit's
+   * answer was lost, and when its return was reported it was still here. Else nobody would place it.
    */
-  #returned(id: string): void {
+  #adoptReturned(id: string): void {
     const header = this.ctx.mirror.rows.get(keys.job(id))?.value;
-    if (isHeader(header)) this.#takeIn(id, header, null);
+    if (isHeader(header)) this.#adoptMissing(id, header, null);
   }
 }
--- a/src/part/record-loader.ts
+++ b/src/part/record-loader.ts
@@ -5,16 +5,16 @@
 import type { Committer } from "./committer.js";
 import type { Quarantine } from "./quarantine.js";
 
-/** What an earlier owner, or the part that a chunk came from, has left of it. */
+/** Chunk state left in the store by an earlier owner, or by the part that the chunk came from. */
 export interface StoredChunk {
   state: ChunkState;
   pages: readonly number[];
-  handover: number;
-  /** Of the record that it is in. */
+  handoverVersion: number;
+  /** Version of the record that contains it. */
   version: number;
 }
 
-const joined = (a: StoredChunk, b: StoredChunk): StoredChunk => ({
+const mergePieces = (a: StoredChunk, b: StoredChunk): StoredChunk => ({
   ...a,
   state: {
     attempts: Math.max(a.state.attempts, b.state.attempts),
@@ -24,40 +24,42 @@
   pages: [...a.pages, ...b.pages],
 });
 
-/** What the records of a part say of each chunk; those that cannot be read are set aside. */
+/** Reads a part's records: the stored state by chunk name. Unreadable records are quarantined. */
 export function readRecords(
   records: readonly Row[],
   index: number,
-  commits: Committer,
+  committer: Committer,
   quarantine: Quarantine,
 ): Map<string, StoredChunk> {
-  const kept = new Map<string, StoredChunk>();
+  const storedChunks = new Map<string, StoredChunk>();
   for (const { key, value, version } of records) {
     if (key === keys.fence(index)) {
-      commits.known(key, version);
+      committer.setVersion(key, version);
       continue;
     }
-    const handed = key.startsWith(`${keys.records(index)}m/`);
-    if (!handed && !key.startsWith(keys.pages(index))) continue;
+    const isHandover = key.startsWith(`${keys.records(index)}m/`);
+    if (!isHandover && !key.startsWith(keys.pages(index))) continue;
     const states = readPage(value);
-    // What came along has its chunk's name.
-    const whole = states !== null && (!handed || states.has(key.split("/").slice(3).join("/")));
-    if (!whole) {
-      quarantine.record(key);
-      commits.reserve(key);
+    // A handover record has to contain the chunk that its key names.
+    const isReadable =
+      states !== null && (!isHandover || states.has(key.split("/").slice(3).join("/")));
+    if (!isReadable) {
+      quarantine.add(key);
+      committer.markUnreadable(key);
       continue;
     }
-    commits.known(key, version, value);
+    committer.setVersion(key, version, value);
     const inPage = key.startsWith(keys.pages(index));
     const pages = inPage ? [Number(key.slice(keys.pages(index).length))] : [];
     for (const [name, state] of states) {
-      const one = { state, pages, handover: inPage ? 0 : version, version };
-      const other = kept.get(name);
-      // A page that cannot be written any more keeps what has gone to newer records since; and what
-      // was written at once in several pages is one state in pieces.
-      if (other === undefined || other.version < version) kept.set(name, one);
-      else if (other.version === version) kept.set(name, joined(other, one));
+      const storedChunk = { state, pages, handoverVersion: inPage ? 0 : version, version };
+      const existing = storedChunks.get(name);
+      // An oversized page still contains states that were later written to newer records. Records of
+      // the same version are pieces of one state that spans several pages.
+      if (existing === undefined || existing.version < version) storedChunks.set(name, storedChunk);
+      else if (existing.version === version)
+        storedChunks.set(name, mergePieces(existing, storedChunk));
     }
   }
-  return kept;
+  return storedChunks;
 }
--- a/src/part/restore-reconciliation.ts
+++ b/src/part/restore-reconciliation.ts
@@ -5,16 +5,16 @@
 import type { PartContext } from "./context.js";
 import type { Ledger } from "./ledger.js";
 
-/** How long after our last answer a worker may still hold tasks, as a multiple of its lease. */
-const SILENT = 1.1;
+/** How long after the last answer a worker may still run tasks, as a multiple of its lease. */
+const LEASES_UNTIL_TASKS_STOPPED = 1.1;
 
-/** A worker drops answers that are older (PROTOCOL): a start that was under way is lost by then. */
-const ANSWER_MS = 4000;
+/** Workers discard answers older than this (PROTOCOL): a start in flight has expired by then. */
+const ANSWER_EXPIRY_MS = 4000;
 
 /**
- * How long tasks may run after a restore without anybody here hearing of them: an owner of the
- * former cluster that had lost its state service answered its workers for `cancel_s - 1.15 lease_s`
- * more (docs/design.md), and a worker that nobody answers keeps its tasks for a lease.
+ * How long after a restore tasks may run without being reported here. An owner of the former cluster
+ * that had lost its state service answered its workers for another `cancel_s - 1.15 lease_s`
+ * (docs/design.md), and a worker without answers keeps its tasks for a lease.
  */
 export const restoreReconciliationMs = ({
   lease_s,
@@ -23,18 +23,21 @@
   lease_s: number;
   cancel_s: number;
 }): number =>
-  (Math.max(0, cancel_s - 1.15 * lease_s) + lease_s * (SILENT + 2 * DRIFT)) * 1000 + ANSWER_MS;
+  (Math.max(0, cancel_s - 1.15 * lease_s) + lease_s * (LEASES_UNTIL_TASKS_STOPPED + 2 * DRIFT)) *
+    1000 +
+  ANSWER_EXPIRY_MS;
 
 /**
- * After a restore: records are of the image, and tasks that were started later run without a record.
+ * After a restore the records are those of the image, and tasks started later run without a record.
  * Until no such task can be running anywhere, nothing is placed. Owners answer their workers, stop
- * what they do not know, and take note of what a worker can prove to be done. An owner that has
- * waited long enough and sees nothing unknown vouches for its part, under its claim; when all owners
- * have, as they are at one moment, the restore has settled.
+ * unknown tasks, and record tasks that a worker reports as completed. An owner that has waited long
+ * enough and sees no unknown task writes the reconciled marker of its part, with the version of its
+ * claim. Once the markers of all parts match their current claims, checked in one transaction, the
+ * restore state becomes `settled`.
  */
 export class RestoreReconciliation {
   readonly #since: number;
-  #busy = false;
+  #writing = false;
 
   constructor(
     readonly ctx: PartContext,
@@ -44,83 +47,83 @@
   }
 
   run(): void {
-    if (this.#busy) return;
+    if (this.#writing) return;
     const { mirror, index, claim } = this.ctx;
-    const vouched = mirror.rows.get(keys.reconciled(index));
-    if (vouched?.value !== claim.version) {
-      if (this.#clean()) this.#write(() => this.#vouch(vouched?.version ?? 0));
+    const marker = mirror.rows.get(keys.reconciled(index));
+    if (marker?.value !== claim.version) {
+      if (this.#isReconciled())
+        this.#startWrite(() => this.#writeReconciledMarker(marker?.version ?? 0));
       return;
     }
-    const all = this.#all();
-    if (all !== null) this.#write(() => this.#settle(all));
+    const conditions = this.#allReconciled();
+    if (conditions !== null) this.#startWrite(() => this.#finishReconciliation(conditions));
   }
 
-  /** Whether nothing runs here that the records do not tell of, and nothing can turn up. */
-  #clean(): boolean {
+  /** Whether no unknown task runs in this part, and none can appear any more. */
+  #isReconciled(): boolean {
     const now = this.ctx.clock.now();
     if (now - this.#since < this.ctx.restoreReconciliationMs) return false;
     for (const machine of this.ledger.machines.values()) {
-      if (this.#unknown(machine, now)) return false;
+      if (this.#mayRunUnknownTasks(machine, now)) return false;
     }
-    // What workers have proved to be done is in the store before anybody relies on it.
+    // Tasks that workers reported as completed have to be committed first.
     for (const { chunks } of this.ledger.jobs.values()) {
       for (const chunk of chunks.values()) if (chunk.savedVersion < chunk.version) return false;
     }
     return true;
   }
 
-  #unknown(
-    { unknownTasks: strays, hasOurToken: current, lastSeen }: Machine,
-    now: number,
-  ): boolean {
-    // One that has only just heard of us has not told us its tasks yet.
-    if (strays.length === 0 && current) return false;
-    return now - lastSeen <= this.ctx.leaseMs * SILENT;
+  #mayRunUnknownTasks({ unknownTasks, hasOurToken, lastSeen }: Machine, now: number): boolean {
+    // A worker without this owner's token has not given a complete report of its tasks yet.
+    if (unknownTasks.length === 0 && hasOurToken) return false;
+    return now - lastSeen <= this.ctx.leaseMs * LEASES_UNTIL_TASKS_STOPPED;
   }
 
-  /** What all owners have vouched for, if each of them is the owner now. */
-  #all(): { key: string; version: number }[] | null {
+  /** Claims and markers of all parts as conditions, or null if a marker does not match its claim. */
+  #allReconciled(): { key: string; version: number }[] | null {
     const { mirror, parts } = this.ctx;
     const conditions: { key: string; version: number }[] = [];
     for (let part = 0; part < parts; part++) {
       const claim = mirror.rows.get(keys.claim(part));
-      const vouched = mirror.rows.get(keys.reconciled(part));
-      if (claim === undefined || vouched?.value !== claim.version) return null;
+      const marker = mirror.rows.get(keys.reconciled(part));
+      if (claim === undefined || marker?.value !== claim.version) return null;
       conditions.push(
         { key: keys.claim(part), version: claim.version },
-        { key: keys.reconciled(part), version: vouched.version },
+        { key: keys.reconciled(part), version: marker.version },
       );
     }
     return conditions;
   }
 
-  #write(run: () => Promise<unknown>): void {
-    this.#busy = true;
-    run()
-      .catch((error) => this.ctx.log.debug({ why: String(error) }, "settling waits"))
+  #startWrite(write: () => Promise<unknown>): void {
+    this.#writing = true;
+    write()
+      .catch((error) =>
+        this.ctx.log.debug({ why: String(error) }, "restore reconciliation not written; retrying"),
+      )
       .finally(() => {
-        this.#busy = false;
+        this.#writing = false;
       });
   }
 
-  async #vouch(version: number): Promise<void> {
+  async #writeReconciledMarker(version: number): Promise<void> {
     const { store, index, claim, mirror, log } = this.ctx;
     const key = keys.reconciled(index);
     const value = claim.version;
     const result = await store.transact([claim, { key, version }], [{ put: key, value }]);
     if (!result.ok) return;
     mirror.apply({ key, value, version: result.revision, deleted: false });
-    log.info({ part: index }, "nothing unknown runs in this part");
+    log.info({ part: index }, "restore reconciliation: no unknown tasks run in this part");
   }
 
-  async #settle(all: { key: string; version: number }[]): Promise<void> {
+  async #finishReconciliation(conditions: { key: string; version: number }[]): Promise<void> {
     const { store, mirror, log } = this.ctx;
     const { version } = restoreStateOf(mirror);
     const record = parseRestoreRecord(mirror.rows.get(keys.restored)?.value);
     if (record === null) return;
     const value = { ...record, state: "settled" };
     const key = keys.restored;
-    const result = await store.transact([...all, { key, version }], [{ put: key, value }]);
+    const result = await store.transact([...conditions, { key, version }], [{ put: key, value }]);
     if (!result.ok) return;
     mirror.apply({ key, value, version: result.revision, deleted: false });
     log.info({}, "the restored records tell of all that runs");
