--- a/test/part-records.test.ts
+++ b/test/part-records.test.ts
@@ -5,7 +5,8 @@
 import { LIMITS } from "./support/common.js";
 import { Bench, exited, header, PLACED, running, spec } from "./support/part-bench.js";
 
-// With large values nothing ever left its page: room was asked for that no transaction has.
+// Guards against chunks that never left their page: with large values more space was required than a
+// transaction has.
 for (const valueBytes of [1024, 8 * 1024, 32 * 1024, 256 * 1024]) {
   test(`a job ends where values may have ${valueBytes} bytes`, async () => {
     const bench = new Bench({ ...LIMITS, valueBytes });
@@ -19,8 +20,12 @@
   });
 }
 
-/** Follows us, with nothing on it, for as long as it takes to place what is not placed. */
-const heard = async (bench: Bench, machine: string, tasks: Report["tasks"] = []): Promise<void> => {
+/** Reports of a worker that takes this owner's token, for long enough to place waiting tasks on it. */
+const reportUntilPlaced = async (
+  bench: Bench,
+  machine: string,
+  tasks: Report["tasks"] = [],
+): Promise<void> => {
   await bench.report(machine, { token: 1, tasks });
   for (const seq of [2, 3, 4]) {
     await bench.report(machine, { seq, tasks });
@@ -28,11 +33,11 @@
   }
 };
 
-test("records: of a chunk in two pages the newer counts, and what was written at once is one state", async () => {
+test("records: of a chunk in two pages the newer counts; pages written together are one state", async () => {
   const bench = new Bench();
-  const many = { ...spec, tasks: 3 };
-  bench.put({ put: "w/j/wk-000001", value: header({ spec: many, tasks: 3, chunkSize: 3 }) });
-  // It was in a page that cannot be written any more, and went on in two others.
+  const jobSpec = { ...spec, tasks: 3 };
+  bench.put({ put: "w/j/wk-000001", value: header({ spec: jobSpec, tasks: 3, chunkSize: 3 }) });
+  // It was in a page that is not written any more, and then moved to two others.
   bench.put({
     put: "c/0/p/0",
     value: { m: ["old"], c: { "wk-000001/0": [3, "", "0.1.0,1.2.0,2.3.0"] } },
@@ -45,12 +50,12 @@
   const on = (task: number, attempt: number) => [
     { task: `wk-000001/${task}`, attempt, state: "running" as const, why: "" },
   ];
-  await heard(bench, "b", on(1, 6));
-  await heard(bench, "c", on(2, 7));
-  await heard(bench, "old");
+  await reportUntilPlaced(bench, "b", on(1, 6));
+  await reportUntilPlaced(bench, "c", on(2, 7));
+  await reportUntilPlaced(bench, "old");
   const [job] = bench.part.inspect({ id: "wk-000001" }).jobs;
   assert.deepEqual([job?.done, job?.placed, job?.running, job?.pending], [1, 2, 2, 0]);
-  // Its end goes into the pages that it is in, and in the end all of them are gone.
+  // Ends of its tasks are written to the pages that it is in. At last all of them are removed.
   await bench.report("b", {
     seq: 9,
     tasks: on(1, 6).map((one) => ({ ...one, state: "exited", why: "done" })),
@@ -65,9 +70,9 @@
   assert.equal(value.status, "done");
 });
 
-// A page of an earlier version, larger than values may be now, in transactions of few changes.
+// A page of an earlier build, larger than values may be now, with transactions of few changes.
 for (const ops of [4, 8]) {
-  test(`records: a page too large to be written, ${ops} changes: its jobs end, and it goes`, async () => {
+  test(`records: a page too large to be written, ${ops} changes: its jobs end, and it is removed`, async () => {
     const limits = { ...LIMITS, valueBytes: 1024, ops, conditions: 4 * ops };
     const bench = new Bench(limits);
     bench.state.limits = LIMITS;
@@ -79,7 +84,7 @@
       c[`${id}/0`] = [3, "", "0.3.0"];
       tasks.push({ task: `${id}/0`, attempt: 3, state: "running", why: "" });
     }
-    // One that alone is larger than a value: its machines have long names.
+    // A chunk that alone is larger than a value: its machines have long names.
     const names = Array.from({ length: 10 }, (_, i) => `machine-${"x".repeat(110)}-${i}`);
     bench.put({
       put: "w/j/wk-000050",
@@ -120,8 +125,8 @@
   });
 }
 
-test("many chunks are saved by few changes, within the limits of a value and a transaction", async () => {
-  // The stand-in throws on a value or a transaction that is too large.
+test("many chunks are saved by few changes, within the limits on values and transactions", async () => {
+  // The fake store throws on a value or a transaction that is too large.
   const bench = new Bench({ ...LIMITS, valueBytes: 700, ops: 6 });
   await bench.takeOver();
   const machines = Array.from(
@@ -129,45 +134,45 @@
     (_, i) => `${"machine-with-a-long-name-".repeat(2)}${i}`,
   );
   for (const machine of machines) await bench.report(machine, { token: 1 });
-  const first = bench.state.log.length;
+  const logStart = bench.state.log.length;
   for (let n = 10; n < 18; n++) {
-    const many = { ...spec, tasks: 4, cpus: 0.25 };
-    const value = header({ spec: many, tasks: 4, owners: "0000" });
+    const jobSpec = { ...spec, tasks: 4, cpus: 0.25 };
+    const value = header({ spec: jobSpec, tasks: 4, owners: "0000" });
     bench.put({ put: `w/j/wk-0000${n}`, value });
   }
   const starts = new Set<string>();
   for (let seq = 2; seq < 12; seq++) {
     for (const machine of machines) {
-      for (const order of await bench.report(machine, { seq })) {
-        if (order.verb === "start") starts.add(order.piece);
+      for (const command of await bench.report(machine, { seq })) {
+        if (command.verb === "start") starts.add(command.piece);
       }
     }
     await bench.clock.run(500);
   }
   assert.equal(starts.size, 32);
   const changes = bench.state.log
-    .slice(first)
+    .slice(logStart)
     .filter(({ key }) => key.startsWith("c/0/p/") || key.startsWith("w/q/"));
   assert.ok(changes.length < 24, `${changes.length} changes for 32 chunks`);
 });
 
-// ---- records that cannot be read -----------------------------------------------------------
+// ---- unreadable records --------------------------------------------------------------------
 
 const damaged: [name: string, page: unknown][] = [
-  ["no map", "rubbish"],
-  ["without its machines", { c: { "wk-000001/0": [1, "", "0.1.0"] } }],
-  ["a machine that is not listed", { m: [], c: { "wk-000001/0": [1, "", "0.1.0"] } }],
-  ["tasks that are no numbers", { m: ["old"], c: { "wk-000001/0": [1, "", "a.b.0"] } }],
-  ["ranges that are none", { m: ["old"], c: { "wk-000001/0": [1, "x-", ""] } }],
-  ["a state that is no list", { m: ["old"], c: { "wk-000001/0": 7 } }],
+  ["not a map", "rubbish"],
+  ["no list of machines", { c: { "wk-000001/0": [1, "", "0.1.0"] } }],
+  ["a machine that is not in the list", { m: [], c: { "wk-000001/0": [1, "", "0.1.0"] } }],
+  ["task numbers that are not numbers", { m: ["old"], c: { "wk-000001/0": [1, "", "a.b.0"] } }],
+  ["malformed ranges", { m: ["old"], c: { "wk-000001/0": [1, "x-", ""] } }],
+  ["a state that is not a list", { m: ["old"], c: { "wk-000001/0": 7 } }],
 ];
 for (const [name, value] of damaged) {
-  test(`records: of a page that cannot be read (${name}) nothing is started, and it stays as it is`, async () => {
+  test(`records: nothing of an unreadable page (${name}) is started, and the page stays as it is`, async () => {
     const bench = new Bench();
     bench.put({ put: "c/0/p/0", value });
     bench.put({ put: "w/j/wk-000001", value: header() });
     await bench.takeOver();
-    // Its task may be running on a machine that nobody knows of.
+    // Its task may be running on an unknown machine.
     for (let seq = 1; seq < 6; seq++) {
       assert.deepEqual(await bench.report("new", { seq }), []);
       await bench.clock.run(2000);
@@ -180,11 +185,11 @@
       commands.map(({ verb, piece }) => `${verb} ${piece}`),
       ["start wk-000002/0"],
     );
-    assert.deepEqual(bench.state.rows.get("c/0/p/0")!.value, value, "it was written over");
+    assert.deepEqual(bench.state.rows.get("c/0/p/0")!.value, value, "it was overwritten");
   });
 }
 
-test("records: a state whose header cannot be read stays in its page when that is written anew", async () => {
+test("records: a state whose header is unreadable stays in its page when the page is rewritten", async () => {
   const bench = new Bench();
   const m = ["old"];
   const c = { "wk-000001/0": [1, "", "0.1.0"], "wk-000009/0": [3, "0-1", "2.3.0"] };
@@ -196,7 +201,7 @@
   await bench.report("old", { seq: 2, tasks: [exited("done")] });
   await bench.clock.run(3000);
   const left = decodePage(bench.state.rows.get("c/0/p/0")!.value as PageRecord);
-  assert.deepEqual([...left.keys()], ["wk-000009/0"], "of the other one nothing is left");
+  assert.deepEqual([...left.keys()], ["wk-000009/0"], "the state of the finished chunk is removed");
   assert.deepEqual(left.get("wk-000009/0"), {
     attempts: 3,
     done: "0-1",
@@ -204,7 +209,7 @@
   });
 });
 
-test("records: what a chunk brought along and cannot be read is not started anew", async () => {
+test("records: a chunk with an unreadable handover record is not started", async () => {
   const bench = new Bench();
   bench.put({ put: "c/0/m/wk-000001/0", value: "rubbish" });
   bench.put({ put: "w/j/wk-000001", value: header({ moves: 1 }) });
@@ -218,24 +223,24 @@
   assert.equal(bench.state.rows.get("c/0/m/wk-000001/0")!.value, "rubbish");
 });
 
-test("records: slices that cannot be read let nothing start before they are put right", async () => {
+test("records: nothing starts under unreadable slices before they are repaired", async () => {
   const bench = new Bench();
   bench.put({ put: "w/q/red", value: { 0: "all", 1: [7, 0] } });
   bench.put({ put: "w/j/wk-000001", value: header() });
   await bench.takeOver();
   await bench.clock.run(1000);
   const slices = bench.state.rows.get("w/q/red")!.value;
-  // Its own was what it used, nothing, and then what was free.
+  // Its own slice became what it used, nothing, and then what was free.
   assert.deepEqual(slices, { 0: [1, 0], 1: [7, 0] });
 });
 
-test("records: a part that still holds a job whose header was archived gives it up", async () => {
+test("records: a part drops a job whose header was archived", async () => {
   const bench = new Bench();
   bench.put(PLACED);
   bench.put({ put: "w/j/wk-000001", value: header() });
   await bench.takeOver();
   await bench.report("old", { tasks: [running] });
-  // It was over, and archived, while this controller was out of touch.
+  // The job was finished and archived while this controller had no contact.
   bench.put({ remove: "w/j/wk-000001" });
   await bench.clock.run(3000);
   const commands = await bench.report("old", { seq: 2, tasks: [running] });
@@ -246,45 +251,49 @@
   await bench.report("old", { seq: 3 });
   await bench.clock.run(3000);
   assert.equal(bench.part.jobs.size, 0);
-  assert.equal(bench.state.rows.has("w/j/wk-000001"), false, "its header has come back");
+  assert.equal(bench.state.rows.has("w/j/wk-000001"), false, "its header was written again");
 });
 
 // ---- after a restore -------------------------------------------------------------------------
 
-const stray = { task: "wk-000009/0", attempt: 4, state: "running" as const, why: "" };
-const settlings: [name: string, report: Partial<Report> | null, vouches: boolean][] = [
-  ["nobody reports", null, true],
-  ["a worker has nothing", {}, true],
-  ["a worker runs what no record tells of", { tasks: [stray] }, false],
-  ["a worker has what it does not run any more", { tasks: [{ ...stray, state: "exited" }] }, true],
-  ["a worker has only just heard of us", { token: 0 }, false],
+const unknownTask = { task: "wk-000009/0", attempt: 4, state: "running" as const, why: "" };
+const reconciliationCases: [name: string, report: Partial<Report> | null, reconciled: boolean][] = [
+  ["no worker reports", null, true],
+  ["a worker has no tasks", {}, true],
+  ["a worker runs an unknown task", { tasks: [unknownTask] }, false],
+  [
+    "a worker lists an unknown task that has exited",
+    { tasks: [{ ...unknownTask, state: "exited" }] },
+    true,
+  ],
+  ["a worker does not have this owner's token", { token: 0 }, false],
 ];
-for (const [name, report, vouches] of settlings) {
-  test(`settling: ${name}: ${vouches ? "vouched for, when it has waited" : "not vouched for"}`, async () => {
+for (const [name, report, reconciled] of reconciliationCases) {
+  test(`restore reconciliation: ${name}: ${reconciled ? "marker written after the wait" : "no marker"}`, async () => {
     const bench = new Bench();
-    bench.settling = true;
+    bench.reconcilingRestore = true;
     bench.put({ put: "w/j/wk-000001", value: header() });
     await bench.takeOver();
-    const vouched = (): boolean => bench.state.rows.has("w/r/0");
+    const markerWritten = (): boolean => bench.state.rows.has("w/r/0");
     for (let seq = 1; seq <= 20; seq++) {
       if (report !== null) {
         const commands = await bench.report("new", { ...report, seq });
-        assert.ok(!commands.some(({ verb }) => verb === "start"), "something was started");
+        assert.ok(!commands.some(({ verb }) => verb === "start"), "a task was started");
       }
       await bench.clock.run(2000);
-      if (seq < 14) assert.equal(vouched(), false, "before its time");
+      if (seq < 14) assert.equal(markerWritten(), false, "the marker was written too early");
     }
-    assert.equal(vouched(), vouches);
-    // The worker is silent for longer than it keeps its tasks.
+    assert.equal(markerWritten(), reconciled);
+    // The worker is silent for longer than it keeps its tasks running.
     await bench.clock.run(15_000);
-    assert.equal(vouched(), true);
-    assert.equal(bench.placed(), null);
+    assert.equal(markerWritten(), true);
+    assert.equal(bench.storedPlacement(), null);
   });
 }
 
-test("settling: what a worker still reports as done is done, and is not started again", async () => {
+test("restore reconciliation: a task that a worker reports as done is done and not started again", async () => {
   const bench = new Bench();
-  bench.settling = true;
+  bench.reconcilingRestore = true;
   bench.put({ put: "w/j/wk-000001", value: header() });
   await bench.takeOver();
   const done = { ...exited("done"), attempt: 7 };
--- a/test/part-takeover.test.ts
+++ b/test/part-takeover.test.ts
@@ -4,37 +4,47 @@
 import { Bench, exited, header, PLACED, running, spec } from "./support/part-bench.js";
 
 // A task is placed on `old`, and a new owner takes over. When may it start on `new`?
-const takeovers: { name: string; steps: Partial<Report>[]; gone: boolean; free?: boolean }[] = [
+const takeovers: {
+  name: string;
+  steps: Partial<Report>[];
+  gone: boolean;
+  cloudConfirms?: boolean;
+}[] = [
   { name: "the machine stays silent", steps: [], gone: false },
   {
-    name: "it does not list the task, but follows the old owner",
+    name: "it does not list the task, but has the old owner's token",
     steps: [{ token: 1 }],
     gone: false,
   },
   { name: "it lists the task", steps: [{ tasks: [running] }], gone: false },
   {
-    name: "it follows us and does not list the task",
+    name: "it has the new owner's token and does not list the task",
     steps: [{ token: 1 }, { seq: 2 }],
     gone: true,
   },
   { name: "it has begun a new session", steps: [{ session: 2 }], gone: true },
   { name: "the task failed", steps: [{ tasks: [exited("error")] }], gone: true },
   {
-    name: "an older report without the task comes late",
+    name: "an older report without the task arrives late",
     steps: [{ seq: 9, tasks: [running] }, { seq: 5 }],
     gone: false,
   },
   {
-    name: "a report of an earlier session comes late",
+    name: "a report of an earlier session arrives late",
     steps: [
       { session: 2, tasks: [running] },
       { session: 1, seq: 99 },
     ],
     gone: false,
   },
-  { name: "the cloud has confirmed that the machine is gone", steps: [], gone: true, free: true },
+  {
+    name: "the cloud has confirmed that the machine is gone",
+    steps: [],
+    gone: true,
+    cloudConfirms: true,
+  },
 ];
-for (const { name, steps, gone, free } of takeovers) {
+for (const { name, steps, gone, cloudConfirms } of takeovers) {
   test(`takeover: ${name}: ${gone ? "proved gone" : "not proved gone"}`, async () => {
     const bench = new Bench();
     bench.put({ put: "w/j/wk-000001", value: header() });
@@ -43,25 +53,44 @@
     await bench.report("new", { token: 1 });
     await bench.report("new", { seq: 2 });
     for (const step of steps) await bench.report("old", step);
-    if (free === true) bench.put({ put: "w/g/1-1", value: ["old"] });
-    // Machines that are only silent must be waited for, however long it takes.
+    if (cloudConfirms === true) bench.put({ put: "w/g/1-1", value: ["old"] });
+    // A machine that is only silent must be waited for, however long it takes.
     for (let seq = 3; seq < 40; seq++) {
       await bench.clock.run(1000);
       await bench.report("new", { seq });
     }
-    if (gone) assert.equal(bench.placed()?.[0], 2);
-    else assert.deepEqual(bench.placed(), [1, "old"]);
+    if (gone) assert.equal(bench.storedPlacement()?.[0], 2);
+    else assert.deepEqual(bench.storedPlacement(), [1, "old"]);
   });
 }
 
-// A job comes when a machine has not been heard for `awayMs`; its next two reports say what follows.
-const hearing: { name: string; awayMs: number; session: number; seq: number; at: number }[] = [
-  { name: "away for a moment: used at once", awayMs: 3000, session: 1, seq: 5, at: 1 },
-  { name: "round all others once: not before it hears", awayMs: 8000, session: 1, seq: 5, at: 2 },
-  { name: "a new session: not before it hears", awayMs: 1000, session: 2, seq: 1, at: 2 },
+// A job is submitted after a machine was silent for `awayMs`. After which of its next two reports is a
+// task placed on it?
+const unreachableCases: {
+  name: string;
+  awayMs: number;
+  session: number;
+  seq: number;
+  placedAfter: number;
+}[] = [
+  { name: "silent for a moment: used at once", awayMs: 3000, session: 1, seq: 5, placedAfter: 1 },
+  {
+    name: "as long as a round of all controllers: not before an answer reaches it",
+    awayMs: 8000,
+    session: 1,
+    seq: 5,
+    placedAfter: 2,
+  },
+  {
+    name: "a new session: not before an answer reaches it",
+    awayMs: 1000,
+    session: 2,
+    seq: 1,
+    placedAfter: 2,
+  },
 ];
-for (const { name, awayMs, session, seq, at } of hearing) {
-  test(`a machine that may be deaf, ${name}`, async () => {
+for (const { name, awayMs, session, seq, placedAfter } of unreachableCases) {
+  test(`a machine that may be unreachable, ${name}`, async () => {
     const bench = new Bench();
     await bench.takeOver();
     await bench.report("a", { token: 1 });
@@ -72,29 +101,29 @@
     for (const n of [0, 1]) {
       await bench.report("a", { session, seq: seq + n });
       await bench.clock.run(1000);
-      if (bench.placed() !== null) placed.push(n + 1);
+      if (bench.storedPlacement() !== null) placed.push(n + 1);
     }
-    assert.equal(placed[0], at);
+    assert.equal(placed[0], placedAfter);
   });
 }
 
-test("what was placed on a machine and not told to it goes elsewhere once that machine is deaf", async () => {
+test("a task whose start was never sent is placed elsewhere once its machine is unreachable", async () => {
   const bench = new Bench();
   await bench.takeOver();
   await bench.report("a", { token: 1 });
   await bench.report("a", { seq: 2 });
   bench.put({ put: "w/j/wk-000001", value: header() });
   await bench.clock.run(1000);
-  assert.deepEqual(bench.placed()?.[1], "a");
+  assert.deepEqual(bench.storedPlacement()?.[1], "a");
   await bench.clock.run(7000);
   assert.deepEqual(await bench.report("a", { seq: 9 }), []);
   await bench.report("b", { token: 1 });
   await bench.report("b", { seq: 2 });
   await bench.clock.run(1000);
-  assert.deepEqual(bench.placed()?.[1], "b");
+  assert.deepEqual(bench.storedPlacement()?.[1], "b");
 });
 
-test("a machine that does not hear us is no witness against us, and is returned in the end", async () => {
+test("an unreachable machine is not counted among silent ones, and is retired in the end", async () => {
   const bench = new Bench();
   await bench.takeOver();
   for (const machine of ["a", "b", "c"]) {
@@ -107,7 +136,7 @@
   for (const seq of [5, 8, 11, 14]) {
     await bench.clock.run(3000);
     for (const machine of ["a", "b", "c"]) await bench.report(machine, { seq });
-    // Silent together for longer than a third of a lease, as if this controller were cut off.
+    // Silent together for longer than a third of a lease, as if this controller had no network.
     await bench.clock.run(4500);
     if (seq > 5) assert.equal(bench.part.mostMachinesSilent(), false);
     seen.push(retired());
@@ -115,20 +144,21 @@
   assert.deepEqual(seen.slice(1), [[], [], ["a", "b", "c"]]);
 });
 
-// Two of three tasks are on a machine in zone a, as a new owner finds them. May the third be there?
-const scattered = { spread: true };
-const together = { oneZone: true };
-const zoneRules: { rule: object; heard: string | null; on: string | null }[] = [
-  { rule: scattered, heard: null, on: null },
-  { rule: scattered, heard: "a", on: null },
-  { rule: scattered, heard: "b", on: "new" },
-  { rule: together, heard: null, on: null },
-  { rule: together, heard: "a", on: "old" },
-  { rule: together, heard: "b", on: "old" },
+// A new owner finds two of three tasks on one machine, whose zone it learns from reports only. Where
+// may the third start?
+const spreadRule = { spread: true };
+const oneZoneRule = { oneZone: true };
+const zoneRules: { rule: object; reportedZone: string | null; startsOn: string | null }[] = [
+  { rule: spreadRule, reportedZone: null, startsOn: null },
+  { rule: spreadRule, reportedZone: "a", startsOn: null },
+  { rule: spreadRule, reportedZone: "b", startsOn: "new" },
+  { rule: oneZoneRule, reportedZone: null, startsOn: null },
+  { rule: oneZoneRule, reportedZone: "a", startsOn: "old" },
+  { rule: oneZoneRule, reportedZone: "b", startsOn: "old" },
 ];
-for (const { rule, heard, on } of zoneRules) {
-  const where = heard === null ? "not heard of" : `in zone ${heard}`;
-  test(`takeover: two of three tasks (${Object.keys(rule)}) on a machine ${where}: ${on}`, async () => {
+for (const { rule, reportedZone, startsOn } of zoneRules) {
+  const where = reportedZone === null ? "that does not report" : `in zone ${reportedZone}`;
+  test(`takeover: two of three tasks (${Object.keys(rule)}) on a machine ${where}: ${startsOn}`, async () => {
     const bench = new Bench();
     const value = { m: ["old"], c: { "wk-000001/0": [1, "", "0.1.0,1.1.0"] } };
     const job = header({ spec: { ...spec, ...rule, tasks: 3 }, tasks: 3, chunkSize: 3 });
@@ -139,13 +169,13 @@
     for (let seq = 1; seq < 12; seq++) {
       const token = seq === 1 ? 1 : bench.token;
       const reports: [string, Partial<Report>][] = [["new", { seq, token }]];
-      if (heard !== null) reports.push(["old", { seq, token, zone: heard, tasks }]);
+      if (reportedZone !== null) reports.push(["old", { seq, token, zone: reportedZone, tasks }]);
       for (const [machine, report] of reports) {
-        const orders = await bench.report(machine, report);
-        if (orders.some(({ verb }) => verb === "start")) started ??= machine;
+        const commands = await bench.report(machine, report);
+        if (commands.some(({ verb }) => verb === "start")) started ??= machine;
       }
       await bench.clock.run(500);
     }
-    assert.equal(started, on);
+    assert.equal(started, startsOn);
   });
 }
--- a/test/part.test.ts
+++ b/test/part.test.ts
@@ -7,16 +7,16 @@
 import { LIMITS } from "./support/common.js";
 import { Bench, exited, header, PLACED, running, spec } from "./support/part-bench.js";
 
-test("sweep: a job that its part never heard of is found, counted and placed; others are not", async () => {
+test("orphan sweep: a job that its part was never told of is found, counted and placed; others are not", async () => {
   const bench = new Bench();
   await bench.takeOver();
-  const found: string[] = [];
+  const events: string[] = [];
   bench.part.ctx.metrics.add = (record) => {
-    if (record.kind === "event") found.push(record.what);
+    if (record.kind === "event") events.push(record.what);
   };
   bench.put({ put: "w/j/wk-000002", value: header() });
   await bench.clock.run(100);
-  // As if its news had been lost: it is in the copy, and nobody was told.
+  // As if its watch event had been lost: the mirror has the job, and the part was not told.
   const version = bench.state.revision;
   bench.mirror.rows.set("w/j/wk-000001", { value: header(), version });
   await bench.report("a", { token: 1 });
@@ -24,11 +24,11 @@
     await bench.report("a", { seq });
     await bench.clock.run(2000);
   }
-  assert.deepEqual(found, ["job without owner"]);
+  assert.deepEqual(events, ["job without owner"]);
   assert.ok(bench.part.jobs.has("wk-000001"));
 });
 
-test("placement is in the store before the start command is given", async () => {
+test("a placement is stored before the start command is sent", async () => {
   const bench = new Bench();
   await bench.takeOver();
   await bench.report("new", { token: 1 });
@@ -37,21 +37,21 @@
   let started = false;
   for (let seq = 3; seq < 60 && !started; seq++) {
     await bench.clock.run(20);
-    const orders = await bench.report("new", { seq });
-    started = orders.some(({ verb }) => verb === "start");
-    if (started) assert.equal(bench.placed()?.[1], "new");
+    const commands = await bench.report("new", { seq });
+    started = commands.some(({ verb }) => verb === "start");
+    if (started) assert.equal(bench.storedPlacement()?.[1], "new");
   }
   assert.ok(started);
 });
 
-// What a program before this one wrote as NaN, as two kinds of store give it back.
-const poisons: { name: string; value: unknown }[] = [
+// Slices that an earlier build wrote as NaN, as two kinds of store return them; and unreadable ones.
+const invalidSlices: { name: string; value: unknown }[] = [
   { name: "null in place of NaN", value: { 0: [null, 0], 1: [2, 0] } },
   { name: "NaN", value: { 0: [Number.NaN, 0], 1: [2, 0] } },
-  { name: "nothing that can be read", value: "slices" },
+  { name: "an unreadable value", value: "slices" },
 ];
-for (const { name, value } of poisons) {
-  test(`slices that are no numbers (${name}) heal to what is in use, and work goes on`, async () => {
+for (const { name, value } of invalidSlices) {
+  test(`invalid slices (${name}) are replaced by the resources in use, and tasks are started again`, async () => {
     const bench = new Bench();
     bench.put({ put: "w/q/red", value });
     bench.put({ put: "w/j/wk-000001", value: header() });
@@ -61,27 +61,27 @@
     await bench.clock.run(500);
     const slices = (): Record<string, [number, number] | null> =>
       bench.state.rows.get("w/q/red")?.value as ReturnType<typeof slices>;
-    assert.deepEqual(slices()[0], [1, 0], "its owner says what its tasks use");
-    // The other part has an owner again, which says its own.
+    assert.deepEqual(slices()[0], [1, 0], "its owner writes what its tasks use");
+    // The other part has an owner again, which writes its own slice.
     bench.put({ put: "w/q/red", value: { ...slices(), 1: [2, 0] } });
     bench.put({ put: "w/j/wk-000002", value: header() });
     await bench.report("new", { token: 1 });
     const started = new Set<string>();
     for (let seq = 3; seq < 12; seq++) {
-      const orders = await bench.report("old", { seq, tasks: [running] });
-      orders.push(...(await bench.report("new", { seq })));
-      for (const { verb, piece } of orders) if (verb === "start") started.add(piece);
+      const commands = await bench.report("old", { seq, tasks: [running] });
+      commands.push(...(await bench.report("new", { seq })));
+      for (const { verb, piece } of commands) if (verb === "start") started.add(piece);
       await bench.clock.run(500);
     }
     assert.deepEqual([...started], ["wk-000002/0"]);
-    assert.deepEqual(slices(), { 0: [6, 0], 1: [2, 0] }, "and takes what is free");
+    assert.deepEqual(slices(), { 0: [6, 0], 1: [2, 0] }, "it takes what is free");
   });
 }
 
-test("a record that would be refused is left out, and nothing but that record", async () => {
+test("a record that fails validation is left out of the transaction; all others are written", async () => {
   const bench = new Bench();
-  const told: string[] = [];
-  bench.store.writable = coreRecordValidator((key) => told.push(key)).add(
+  const invalidKeys: string[] = [];
+  bench.store.writable = coreRecordValidator((key) => invalidKeys.push(key)).add(
     /^w\/j\/wk-000001$/,
     () => false,
   );
@@ -91,39 +91,44 @@
   await bench.report("new", { token: 1 });
   const tasks: Report["tasks"] = [];
   for (let seq = 2; seq < 20; seq++) {
-    for (const order of await bench.report("new", { seq, tasks })) {
-      const task = { task: order.piece, attempt: order.try, state: "exited" as const, why: "done" };
-      if (order.verb === "start") tasks.push(task);
+    for (const command of await bench.report("new", { seq, tasks })) {
+      const task = {
+        task: command.piece,
+        attempt: command.try,
+        state: "exited" as const,
+        why: "done",
+      };
+      if (command.verb === "start") tasks.push(task);
     }
     await bench.clock.run(500);
   }
   const statusOf = (id: string): unknown =>
     (bench.state.rows.get(`w/j/${id}`)!.value as { status: string }).status;
-  assert.equal(statusOf("wk-000001"), "open", "its end cannot be written");
+  assert.equal(statusOf("wk-000001"), "open", "its header cannot be written");
   assert.equal(statusOf("wk-000002"), "done");
-  assert.deepEqual([...new Set(told)], ["w/j/wk-000001"]);
+  assert.deepEqual([...new Set(invalidKeys)], ["w/j/wk-000001"]);
 });
 
-test("an end is in the store before the worker may forget it", async () => {
+test("the end of a task is stored before the worker is told to forget it", async () => {
   const bench = new Bench();
   bench.put({ put: "w/j/wk-000001", value: header() });
   bench.put(PLACED);
   await bench.takeOver();
-  const clear = { verb: "clear", piece: "wk-000001/0", try: 1 };
+  const forget = { verb: "clear", piece: "wk-000001/0", try: 1 };
   bench.store.cut = true;
   assert.deepEqual(await bench.report("old", { seq: 2, tasks: [exited("done")] }), []);
   bench.store.cut = false;
-  let orders: Command[] = [];
-  for (let seq = 3; seq < 20 && orders.length === 0; seq++) {
+  let commands: Command[] = [];
+  for (let seq = 3; seq < 20 && commands.length === 0; seq++) {
     await bench.clock.run(1000);
-    orders = await bench.report("old", { seq, tasks: [exited("done")] });
+    commands = await bench.report("old", { seq, tasks: [exited("done")] });
   }
   const value = bench.state.rows.get("w/j/wk-000001")?.value as { status: string };
   assert.equal(value.status, "done");
-  assert.deepEqual(orders, [clear]);
+  assert.deepEqual(commands, [forget]);
 });
 
-test("a cancelled job's tasks are stopped and nothing of it starts", async () => {
+test("tasks of a cancelled job are stopped and none are started", async () => {
   const bench = new Bench();
   bench.put({ put: "w/j/wk-000001", value: header() });
   bench.put(PLACED);
@@ -131,8 +136,8 @@
   await bench.report("old", { seq: 2, tasks: [running] });
   bench.put({ put: "w/j/wk-000001", value: header({ status: "cancelled" }) });
   await bench.clock.run(200);
-  const orders = await bench.report("old", { seq: 3, tasks: [running] });
-  assert.deepEqual(orders, [{ verb: "stop", piece: "wk-000001/0", try: 1, windDownS: 0 }]);
+  const commands = await bench.report("old", { seq: 3, tasks: [running] });
+  assert.deepEqual(commands, [{ verb: "stop", piece: "wk-000001/0", try: 1, windDownS: 0 }]);
   await bench.report("old", { seq: 4, tasks: [exited("stopped")] });
   await bench.clock.run(3000);
   assert.deepEqual(await bench.report("old", { seq: 5 }), []);
@@ -142,18 +147,18 @@
   );
 });
 
-// What comes of a transaction whose answer is lost, applied at once, late, or never.
+// A transaction whose answer is lost: applied at once, late, or never.
 for (const when of ["at once", "late", "never"] as const) {
   test(`a commit without answer, applied ${when}: placed once, then started`, async () => {
     const bench = new Bench();
     await bench.takeOver();
     bench.put({ put: "w/j/wk-000001", value: header() });
-    const real = bench.state.transact.bind(bench.state);
-    let lost = 0;
+    const transact = bench.state.transact.bind(bench.state);
+    let transactCalls = 0;
     bench.store.transact = async (conditions: Condition[], then: Change[]) => {
-      if (lost++ > 0) return real(conditions, then);
-      if (when === "at once") real(conditions, then);
-      if (when === "late") bench.clock.after(1500, () => real(conditions, then));
+      if (transactCalls++ > 0) return transact(conditions, then);
+      if (when === "at once") transact(conditions, then);
+      if (when === "late") bench.clock.after(1500, () => transact(conditions, then));
       await new Promise<void>((resolve) => {
         bench.clock.after(1000, resolve);
       });
@@ -164,24 +169,30 @@
     const starts = new Set<string>();
     for (let seq = 3; seq < 12; seq++) {
       await bench.clock.run(1000);
-      for (const order of await bench.report("new", { seq })) {
-        if (order.verb === "start") starts.add(`${order.piece} ${order.try}`);
+      for (const command of await bench.report("new", { seq })) {
+        if (command.verb === "start") starts.add(`${command.piece} ${command.try}`);
       }
     }
-    assert.ok(lost > 1);
+    assert.ok(transactCalls > 1);
     assert.equal(starts.size, 1);
-    assert.equal(bench.placed()?.[1], "new");
+    assert.equal(bench.storedPlacement()?.[1], "new");
   });
 }
 
-// Another controller says that a job is cancelled while the store tells this owner nothing.
-const hints: { name: string; ahead: number; again?: boolean; stops: boolean; starts: boolean }[] = [
-  { name: "before the watch does", ahead: 1, stops: true, starts: false },
-  { name: "of what is known already", ahead: 0, stops: false, starts: true },
+// Another controller reports a cancellation while the state service refuses this owner's requests.
+const cancellationHints: {
+  name: string;
+  ahead: number;
+  again?: boolean;
+  stops: boolean;
+  starts: boolean;
+}[] = [
+  { name: "before the watch reports it", ahead: 1, stops: true, starts: false },
+  { name: "with a version that is known as open", ahead: 0, stops: false, starts: true },
   { name: "and a newer header is open", ahead: 1, again: true, stops: true, starts: true },
 ];
-for (const { name, ahead, again, stops, starts } of hints) {
-  test(`a job is said to be cancelled, ${name}: ${stops ? "stopped" : "goes on"}`, async () => {
+for (const { name, ahead, again, stops, starts } of cancellationHints) {
+  test(`a peer reports a job as cancelled, ${name}: ${stops ? "stopped" : "runs on"}`, async () => {
     const bench = new Bench();
     bench.put(PLACED, { put: "w/j/wk-000001", value: header({ tasks: 2, owners: "00" }) });
     await bench.takeOver();
@@ -196,49 +207,52 @@
       bench.store.refused = false;
       bench.put({ put: "w/j/wk-000001", value: header({ tasks: 2, owners: "00" }) });
     }
-    const orders = await bench.report("old", { seq: 3, tasks });
+    const commands = await bench.report("old", { seq: 3, tasks });
     bench.store.refused = false;
     for (let seq = 4; seq < 12; seq++) {
       await bench.clock.run(500);
-      orders.push(...(await bench.report("old", { seq, tasks })));
+      commands.push(...(await bench.report("old", { seq, tasks })));
     }
     assert.equal(
-      orders.some(({ verb }) => verb === "stop"),
+      commands.some(({ verb }) => verb === "stop"),
       stops,
     );
     assert.equal(
-      orders.some(({ verb, piece }) => verb === "start" && piece === "wk-000001/1"),
+      commands.some(({ verb, piece }) => verb === "start" && piece === "wk-000001/1"),
       starts,
     );
   });
 }
 
-test("a chunk that came back before its owner knew that it had left is placed", async () => {
+test("a chunk that was handed back before its owner knew that it had left is placed", async () => {
   const bench = new Bench();
   await bench.takeOver();
   bench.put({ put: "w/j/wk-000001", value: header() });
   await bench.clock.run(100);
   const job = bench.part.jobs.get("wk-000001")!;
   job.chunks.get(0)!.movingTo = 1;
-  // It leaves, and nobody here hears of that; the other part has no room either, and gives it back.
+  // It leaves, and the answer is lost. The other part has no free resources either and hands it back.
   bench.store.unheard = 1;
   bench.part.tell({ kind: "header", id: "wk-000001", header: job.header });
   await bench.clock.run(400);
-  const left = bench.state.rows.get("w/j/wk-000001")?.value as { owners: string; moves: number };
-  assert.deepEqual([left.owners, left.moves], ["1", 1]);
+  const headerAfterLeaving = bench.state.rows.get("w/j/wk-000001")?.value as {
+    owners: string;
+    moves: number;
+  };
+  assert.deepEqual([headerAfterLeaving.owners, headerAfterLeaving.moves], ["1", 1]);
   bench.store.unheard = 0;
   bench.put({ put: "w/j/wk-000001", value: header({ moves: 2 }) });
   await bench.report("new", { token: 1 });
   let started = false;
   for (let seq = 2; seq < 12; seq++) {
     await bench.clock.run(500);
-    const orders = await bench.report("new", { seq });
-    started ||= orders.some(({ verb }) => verb === "start");
+    const commands = await bench.report("new", { seq });
+    started ||= commands.some(({ verb }) => verb === "start");
   }
-  assert.ok(started, "nobody places it");
+  assert.ok(started, "it was never placed");
 });
 
-test("an owner whose claim has changed writes nothing and gives the part up", async () => {
+test("an owner whose claim has changed writes nothing and reports the claim as lost", async () => {
   const bench = new Bench();
   await bench.takeOver();
   bench.put({ put: "w/p/0", value: { node: "n1", run: "q" } });
@@ -246,17 +260,17 @@
   await bench.report("new", { token: 1 });
   await bench.report("new", { seq: 2 });
   await bench.clock.run(3000);
-  assert.equal(bench.placed(), null);
-  assert.ok(bench.lost);
+  assert.equal(bench.storedPlacement(), null);
+  assert.ok(bench.claimLost);
 });
 
-test("a chunk's state fits a page however long the names of machines are", async () => {
+test("a chunk's state fits a page, however long the machine names are", async () => {
   const bench = new Bench({ ...LIMITS, valueBytes: 4096 });
   await bench.takeOver();
-  const many = { ...spec, tasks: 96, cpus: 0.05 };
+  const jobSpec = { ...spec, tasks: 96, cpus: 0.05 };
   bench.put({
     put: "w/j/wk-000001",
-    value: header({ spec: many, tasks: 96, chunkSize: 96 }),
+    value: header({ spec: jobSpec, tasks: 96, chunkSize: 96 }),
   });
   const machines = Array.from({ length: 24 }, (_, i) => `${"m".repeat(180)}${i}`);
   let started = 0;
@@ -277,8 +291,8 @@
 test("small values: a task is placed only if its chunk's state still fits", async () => {
   const bench = new Bench({ ...LIMITS, valueBytes: 2048, ops: 4, conditions: 16 });
   await bench.takeOver();
-  const small = { ...spec, tasks: 96, cpus: 0.05, memGb: 8 };
-  const value = header({ spec: small, tasks: 96, chunkSize: 96 });
+  const jobSpec = { ...spec, tasks: 96, cpus: 0.05, memGb: 8 };
+  const value = header({ spec: jobSpec, tasks: 96, chunkSize: 96 });
   bench.put({ put: "w/j/wk-000001", value });
   const machines = Array.from({ length: 60 }, (_, i) => `machine-number-${"0".repeat(40)}${i}`);
   for (let seq = 1; seq < 6; seq++) {
@@ -287,20 +301,20 @@
     }
     await bench.clock.run(1000);
   }
-  // As one state in one page: nothing was divided into pieces, and more than the least is placed.
+  // In a single page: the state was not split, and still more than the minimum is placed.
   const pages = [...bench.state.rows].filter(([key]) => key.startsWith("c/0/p/"));
   assert.equal(pages.length, 1);
   const [job] = bench.part.inspect({ id: "wk-000001" }).jobs;
   assert.ok(job!.placed > 20 && job!.placed < 96, `${job!.placed} placed`);
 });
 
-test("many chunks come from other parts at once: all are taken in, a few at a time", async () => {
+test("many chunks handed over at once: all are adopted, a few in each transaction", async () => {
   const bench = new Bench({ ...LIMITS, ops: 6 });
-  const largest = new Set<number>();
-  const real = bench.state.transact.bind(bench.state);
+  const changeCounts = new Set<number>();
+  const transact = bench.state.transact.bind(bench.state);
   bench.state.transact = (when, then) => {
-    largest.add(then.length);
-    return real(when, then);
+    changeCounts.add(then.length);
+    return transact(when, then);
   };
   for (let n = 10; n < 34; n++) {
     const id = `wk-0000${n}`;
@@ -313,60 +327,60 @@
     await bench.report("old", { seq });
     await bench.clock.run(1000);
   }
-  const left = [...bench.state.rows.keys()].filter((key) => key.startsWith("c/0/m/"));
-  assert.deepEqual(left, []);
-  assert.ok(Math.max(...largest) <= 6);
+  const handoverRecords = [...bench.state.rows.keys()].filter((key) => key.startsWith("c/0/m/"));
+  assert.deepEqual(handoverRecords, []);
+  assert.ok(Math.max(...changeCounts) <= 6);
 });
 
-test("a job cancelled without the owner hearing of it: nothing of it starts", async () => {
+test("a job is cancelled while the owner gets no watch events: none of its tasks start", async () => {
   const bench = new Bench();
   await bench.takeOver();
   await bench.report("new", { token: 1 });
   bench.put({ put: "w/j/wk-000001", value: header() });
   await bench.clock.run(20);
-  // From here on the watch says nothing, while everything else of the store is reached.
+  // From here on the watch is silent, while all other requests to the store succeed.
   bench.store.watch = () => new Promise(() => undefined);
   bench.put(
     { put: "w/j/wk-000001", value: header({ status: "cancelled" }) },
     { put: "w/cancels", value: "wk-000001" },
   );
-  const orders: Command[] = [];
+  const commands: Command[] = [];
   for (let seq = 2; seq < 12; seq++) {
-    orders.push(...(await bench.report("new", { seq })));
+    commands.push(...(await bench.report("new", { seq })));
     await bench.clock.run(500);
   }
-  assert.deepEqual(orders, []);
-  assert.equal(bench.placed(), null);
+  assert.deepEqual(commands, []);
+  assert.equal(bench.storedPlacement(), null);
 });
 
-test("a pass that changes nothing looks for nothing to write, and writes nothing", async () => {
+test("a pass that changes nothing collects no write batch, and writes nothing", async () => {
   const bench = new Bench();
   await bench.takeOver();
-  // It waits for a machine.
+  // The job waits for a machine.
   bench.put({ put: "w/j/wk-000001", value: header() });
   await bench.clock.run(6000);
-  // Every look for changes begins with the version of this key, and nothing else asks for it.
-  let looks = 0;
+  // Collecting a batch reads the version of this key, and nothing else does.
+  let collections = 0;
   const { rows } = bench.mirror;
   const get = rows.get.bind(rows);
   rows.get = (key) => {
-    if (key === "w/cancels") looks++;
+    if (key === "w/cancels") collections++;
     return get(key);
   };
   const { revision } = bench.state;
-  bench.passes = 0;
+  bench.passCount = 0;
   await bench.clock.run(3000);
-  assert.ok(bench.passes >= 5, String(bench.passes));
-  assert.equal(looks, 0);
+  assert.ok(bench.passCount >= 5, String(bench.passCount));
+  assert.equal(collections, 0);
   assert.equal(bench.state.revision, revision);
   await bench.report("new", { token: 1 });
   await bench.report("new", { seq: 2 });
   await bench.clock.run(1000);
-  assert.notEqual(bench.placed(), null);
+  assert.notEqual(bench.storedPlacement(), null);
 });
 
-test("placing: who yields is placed after the others, within its allowance, and not without one", async () => {
-  const rules = (cpus: number): PlacementPolicy => {
+test("placement: a preemptible team is placed after the others, within its allowance, and not without one", async () => {
+  const policyWithAllowance = (cpus: number): PlacementPolicy => {
     const amounts = { cpus, gpus: 0 };
     return {
       preemptible: (team) => team === "guest",
@@ -380,19 +394,19 @@
   };
   const started = async (allowance: number, own: number): Promise<string[]> => {
     const bench = new Bench();
-    bench.rules = rules(allowance);
+    bench.policy = policyWithAllowance(allowance);
     const job = (id: string, more: object): void =>
       bench.put({ put: `w/j/${id}`, value: header({ chunkSize: 8, tasks: 4, ...more }) });
     bench.put({ put: "w/q/red", value: { 0: [8, 0] } });
-    // The guest's is older, and its team uses nothing yet.
+    // The guest's job is older, and its team uses nothing yet.
     job("wk-guest", { spec: { ...spec, team: "guest", tasks: 4 } });
     if (own > 0) job("wk-own", { spec: { ...spec, tasks: own }, tasks: own, at: 5 });
     await bench.takeOver();
     await bench.report("m", { token: 1 });
     await bench.report("m", { seq: 2 });
     await bench.clock.run(1500);
-    const orders = await bench.report("m", { seq: 3 });
-    return orders.map(({ piece }) => piece.slice(0, piece.indexOf("/"))).sort();
+    const commands = await bench.report("m", { seq: 3 });
+    return commands.map(({ piece }) => piece.slice(0, piece.indexOf("/"))).sort();
   };
   assert.deepEqual(await started(8, 3), ["wk-guest", "wk-own", "wk-own", "wk-own"]);
   assert.deepEqual(await started(8, 4), Array(4).fill("wk-own"));
--- a/test/support/part-bench.ts
+++ b/test/support/part-bench.ts
@@ -22,25 +22,25 @@
 export const team = { name: "red", cpus: 8, gpus: 0, cpus_max: 8, gpus_max: 0 };
 export const spec = plainSpec;
 
-/** One part with everything around it, at the moment its owner takes it over. */
+/** One part with fakes of all that it depends on, from the moment its owner takes it over. */
 export class Bench {
   readonly clock = new FakeClock();
   readonly state: FakeState;
   readonly store: FakeStore;
   readonly mirror: Mirror;
-  readonly gone = new Set<string>();
+  readonly goneMachines = new Set<string>();
   readonly timely = new Set<string>();
-  readonly lent = new Set<string>();
+  readonly borrowers = new Set<string>();
   token = 0;
-  lost = false;
-  together = true;
-  /** Passes over the jobs. */
-  passes = 0;
-  settling = false;
-  /** What the part has told the others. */
+  claimLost = false;
+  allReadCurrentFormat = true;
+  /** Number of passes over the jobs. */
+  passCount = 0;
+  reconcilingRestore = false;
+  /** Summaries that the part has published. */
   readonly announced: Summary[] = [];
   part!: Part;
-  rules: PlacementPolicy | null = null;
+  policy: PlacementPolicy | null = null;
   readonly limits = new Map<string, Amounts>([["red", { cpus: 8, gpus: 0 }]]);
   configuration: DecidingBy = NEVER_REVISED;
 
@@ -68,7 +68,7 @@
         index: 0,
         claim: { key: "w/p/0", version: this.token },
         ownerSuspected: () => false,
-        allReadCurrentFormat: () => this.together,
+        allReadCurrentFormat: () => this.allReadCurrentFormat,
         pipelines: new Pipelines(
           this.mirror,
           this.store,
@@ -77,7 +77,7 @@
           2000,
           async () => null,
         ),
-        reconcilingRestore: () => this.settling,
+        reconcilingRestore: () => this.reconcilingRestore,
         restoreReconciliationMs: 30_000,
         token: this.token,
         store: this.store,
@@ -88,7 +88,7 @@
         constraints: new PlacementConstraints(null),
         types: () => new Map([["m4", { name: "m4", ...type }]]),
         newShareTree: () => {
-          this.passes++;
+          this.passCount++;
           return new ShareTree(defaultTuning([team]).groups);
         },
         evenOut: true,
@@ -97,10 +97,10 @@
         partsOf: () => [0],
         limits: this.limits,
         configuration: this.configuration,
-        isBorrower: (team) => this.lent.has(team),
-        policy: this.rules,
+        isBorrower: (team) => this.borrowers.has(team),
+        policy: this.policy,
         targets: new Map(),
-        goneMachines: this.gone,
+        goneMachines: this.goneMachines,
         metrics: new Metrics(this.clock, 1e9),
         summaries: new Summaries(),
         guaranteed: () => new Set(),
@@ -110,7 +110,7 @@
         reportMs: 2000,
         leaseMs: 12_000,
         onClaimLost: () => {
-          this.lost = true;
+          this.claimLost = true;
         },
       },
       records,
@@ -145,15 +145,15 @@
         answer = reply;
       },
     });
-    // Some answers wait for a commit, though never long.
+    // Some answers are delayed for a commit, for a bounded time.
     if (answer === null) await this.clock.run(250);
     const reply = answer as Reply | null;
     assert.ok(reply !== null);
     return reply.status === 200 ? (bodyOf(reply) as { orders: Command[] }).orders : [];
   }
 
-  /** Where the store says that the task is placed, and with which attempt. */
-  placed(): [number, string] | null {
+  /** Attempt and machine of the task `wk-000001/0` according to the store, or null. */
+  storedPlacement(): [number, string] | null {
     for (const [key, { value }] of this.state.rows) {
       if (!key.startsWith("c/0/p/")) continue;
       const live = decodePage(value as PageRecord).get("wk-000001/0")?.live[0];
@@ -174,7 +174,7 @@
   tasks: 1,
   ...more,
 });
-/** Its only task is on `old`. */
+/** Record of job `wk-000001` with its only task placed on `old`. */
 export const PLACED: Change = {
   put: "c/0/p/0",
   value: { m: ["old"], c: { "wk-000001/0": [1, "", "0.1.0"] } },
