--- a/src/client/client.ts
+++ b/src/client/client.ts
@@ -18,59 +18,59 @@
   status: JobStatus;
   done?: number;
   running?: number;
-  /** Jobs that it waits for, some of them if they are many. */
+  /** Jobs that it waits for; only some of them if there are many. */
   awaits?: string[];
 }
 
-/** What a user does: submit, show, watch and withdraw jobs, with the retries of PROTOCOL. */
+/** Submits, shows, watches and withdraws jobs, with the retries of PROTOCOL. */
 export class JobClient extends RequestClient {
   submit(body: unknown): Promise<JobView> {
-    return this.#ask("POST", jobsPath, body, 5000);
+    return this.#requestJob("POST", jobsPath, body, 5000);
   }
 
   show(id: string): Promise<JobView> {
-    return this.#ask("GET", jobPath(id), undefined, 2000);
+    return this.#requestJob("GET", jobPath(id), undefined, 2000);
   }
 
   withdraw(id: string): Promise<JobView> {
-    return this.#ask("POST", cancelPath(id), undefined, 5000);
+    return this.#requestJob("POST", cancelPath(id), undefined, 5000);
   }
 
-  /** How the cluster stands, as that controller sees it. */
+  /** The cluster's status as that controller sees it. */
   status(): Promise<unknown> {
-    return this.#about("GET", statusPath, undefined);
+    return this.#requestAbout("GET", statusPath, undefined);
   }
 
-  /** Tells that controller to give all it owns to the others, or to take parts again. */
+  /** Makes that controller hand over all it owns to the others, or take parts again. */
   async drain(on: boolean): Promise<{ node: string }> {
-    return (await this.#about("POST", drainPath, { on })) as { node: string };
+    return (await this.#requestAbout("POST", drainPath, { on })) as { node: string };
   }
 
-  async #about(method: string, path: string, body: unknown): Promise<unknown> {
+  async #requestAbout(method: string, path: string, body: unknown): Promise<unknown> {
     try {
       const answer = await this.caller.call(method, path, body, 5000);
       if (answer.status === 200) return answer.body;
-      throw new RequestRefused(`status ${answer.status}`);
+      throw new RequestRefused(`unexpected status ${answer.status}`);
     } catch (error) {
       if (error instanceof NoAnswer) throw new Unanswered(error.message);
       throw error;
     }
   }
 
-  /** Tells every change until the job is over. */
-  async watch(id: string, seen: (view: JobView) => void, everyMs = 5000): Promise<JobView> {
-    let last = "";
+  /** Calls `onChange` for every change until the job is finished. */
+  async watch(id: string, onChange: (view: JobView) => void, everyMs = 5000): Promise<JobView> {
+    let lastText = "";
     for (;;) {
       const view = await this.show(id);
       const text = JSON.stringify(view);
-      if (text !== last) seen(view);
-      last = text;
+      if (text !== lastText) onChange(view);
+      lastText = text;
       if (view.status === "done" || view.status === "cancelled") return view;
       await sleep(this.clock, everyMs);
     }
   }
 
-  #ask(method: string, path: string, body: unknown, timeoutMs: number): Promise<JobView> {
+  #requestJob(method: string, path: string, body: unknown, timeoutMs: number): Promise<JobView> {
     return this.ask({ method, path, body, timeoutMs }, parseStatus);
   }
 }
--- a/src/client/retry.ts
+++ b/src/client/retry.ts
@@ -2,28 +2,28 @@
 import { type Answer, type Caller, HttpClient, NoAnswer } from "../http/client.js";
 import { isMap } from "../wire/cbor.js";
 
-/** The answer is final, and it is no. */
+/** The request was refused with a status that is not retried. */
 export class RequestRefused extends Error {}
-/** Nobody answered, or nobody could, in the time that PROTOCOL gives a request. */
+/** No final answer within the time that PROTOCOL gives a request. */
 export class Unanswered extends Error {}
 
-const PATIENCE_MS = 60_000;
-const MOST_RETRY_S = 30;
-/** By PROTOCOL any other status is tried again. */
-const FINAL: ReadonlySet<number> = new Set([400, 404, 405, 413, 422]);
-/** What packages answer besides: that something else stands under that name. */
-const CONFLICT = 409;
+const GIVE_UP_AFTER_MS = 60_000;
+const MAX_RETRY_DELAY_S = 30;
+/** Statuses that are final; by PROTOCOL any other one is retried. */
+const FINAL_STATUSES: ReadonlySet<number> = new Set([400, 404, 405, 413, 422]);
+/** Also final for an optional package's path: the name is already used for something else. */
+const CONFLICT_STATUS = 409;
 
-export interface Asking {
+export interface RetriedRequest {
   method: string;
   path: string;
   body?: unknown;
   timeoutMs?: number;
-  /** An optional package's path: a controller that does not know it may have a neighbour that does. */
+  /** Name of the optional package that serves the path: another controller may have it enabled. */
   optional?: string;
 }
 
-/** One controller, or a front of several, that is asked with the retries of PROTOCOL. */
+/** Sends requests to one controller, or to a proxy of several, with the retries of PROTOCOL. */
 export class RequestClient {
   protected readonly caller: Caller;
 
@@ -31,7 +31,7 @@
     address: string,
     readonly clock: Clock = systemClock,
     caller?: Caller,
-    readonly patienceMs = PATIENCE_MS,
+    readonly patienceMs = GIVE_UP_AFTER_MS,
   ) {
     this.caller = caller ?? new HttpClient(address, 1, clock);
   }
@@ -40,44 +40,47 @@
     if (this.caller instanceof HttpClient) this.caller.close();
   }
 
-  /** `read` returns null for an answer that makes no sense. @throws RequestRefused, Unanswered */
-  protected ask<T>(asking: Asking, read: (body: unknown) => T | null): Promise<T> {
-    return askUntilFinal(this.caller, this.clock, this.patienceMs, asking, read);
+  /** `parse` returns null for an invalid answer. @throws RequestRefused, Unanswered */
+  protected ask<T>(request: RetriedRequest, parse: (body: unknown) => T | null): Promise<T> {
+    return requestUntilFinal(this.caller, this.clock, this.patienceMs, request, parse);
   }
 }
 
-/** Asks until there is a final answer, after a second or as `Retry-After` says: all may be repeated. */
-async function askUntilFinal<T>(
+/** Retries until a final answer, after 1 s or the `Retry-After` time: all requests may be repeated. */
+async function requestUntilFinal<T>(
   caller: Caller,
   clock: Clock,
   patienceMs: number,
-  { method, path, body, timeoutMs = 5000, optional }: Asking,
-  read: (body: unknown) => T | null,
+  { method, path, body, timeoutMs = 5000, optional }: RetriedRequest,
+  parse: (body: unknown) => T | null,
 ): Promise<T> {
-  const until = clock.now() + patienceMs;
+  const giveUpAt = clock.now() + patienceMs;
   for (;;) {
     let answer: Answer | null = null;
-    let why = "";
-    let unknown = false;
+    let reason = "";
+    let pathUnknown = false;
     try {
       answer = await caller.call(method, path, body, timeoutMs);
-      const said = isMap(answer.body) ? String(answer.body.error ?? "") : "";
-      unknown = optional !== undefined && answer.status === 404 && said === "";
-      if (unknown) why = `${optional} are not switched on there (status 404)`;
-      else why = said === "" ? `status ${answer.status}` : `${said} (status ${answer.status})`;
+      const errorText = isMap(answer.body) ? String(answer.body.error ?? "") : "";
+      pathUnknown = optional !== undefined && answer.status === 404 && errorText === "";
+      if (pathUnknown) reason = `${optional} are not enabled on this controller (status 404)`;
+      else
+        reason =
+          errorText === "" ? `status ${answer.status}` : `${errorText} (status ${answer.status})`;
     } catch (error) {
       if (!(error instanceof NoAnswer)) throw error;
-      why = error.message;
+      reason = error.message;
     }
-    const value = answer === null || answer.status >= 300 ? null : read(answer.body);
+    const value = answer === null || answer.status >= 300 ? null : parse(answer.body);
     if (value !== null) return value;
-    if (answer !== null && !unknown) {
+    if (answer !== null && !pathUnknown) {
       const { status } = answer;
-      const final = FINAL.has(status) || (optional !== undefined && status === CONFLICT);
-      if (final) throw new RequestRefused(why);
+      const isFinal =
+        FINAL_STATUSES.has(status) || (optional !== undefined && status === CONFLICT_STATUS);
+      if (isFinal) throw new RequestRefused(reason);
     }
-    const pause = Math.max(1, Math.min(MOST_RETRY_S, answer?.retryAfterS ?? 0)) * 1000;
-    if (clock.now() + pause > until) throw new Unanswered(why);
-    await sleep(clock, pause);
+    const delayMs = Math.max(1, Math.min(MAX_RETRY_DELAY_S, answer?.retryAfterS ?? 0)) * 1000;
+    if (clock.now() + delayMs > giveUpAt) throw new Unanswered(reason);
+    await sleep(clock, delayMs);
   }
 }
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -5,11 +5,11 @@
 export interface Answer {
   status: number;
   body: unknown;
-  /** What `Retry-After` says, if it is there. */
+  /** The `Retry-After` header in seconds, if present. */
   retryAfterS?: number;
 }
 
-/** An answer whose body has not been read. */
+/** An answer whose body is not decoded. */
 interface RawAnswer {
   status: number;
   retryAfterS?: number;
@@ -19,14 +19,14 @@
 /** No answer came: the request may have been executed, or may still be executed later. */
 export class NoAnswer extends Error {}
 
-/** What can be asked something; throws NoAnswer when nothing comes back in time. */
+/** Sends requests. @throws NoAnswer when no answer arrives before the deadline */
 export interface Caller {
   call(method: string, path: string, body: unknown, timeoutMs: number): Promise<Answer>;
 }
 
-const MAX_ANSWER = 64 * 1024 * 1024;
+const MAX_ANSWER_BYTES = 64 * 1024 * 1024;
 
-/** Requests to one address, each with a deadline of its own. */
+/** Sends requests to one address, each with its own deadline. */
 export class HttpClient implements Caller {
   readonly #agent: Agent;
   readonly #host: string;
@@ -52,13 +52,13 @@
     try {
       return { status, retryAfterS, body: decode(bytes) };
     } catch {
-      // An error page that is not CBOR still says something through its status.
+      // The status of an error page is used even if its body is not CBOR.
       if (status >= 400) return { status, body: undefined, retryAfterS };
       throw new NoAnswer(`${method} ${path}: answer is not CBOR`);
     }
   }
 
-  /** An answer in plain text, such as `/metrics`. @throws NoAnswer, also for any status but 200 */
+  /** Reads plain text, such as `/metrics`. @throws NoAnswer, also for any status but 200 */
   async text(path: string, timeoutMs: number): Promise<string> {
     const { status, bytes } = await this.#exchange("GET", path, undefined, timeoutMs);
     if (status !== 200) throw new NoAnswer(`GET ${path}: status ${status}`);
@@ -79,11 +79,11 @@
             ? {}
             : { "content-type": "application/cbor", "content-length": payload.length },
       });
-      const deadline = this.clock.after(timeoutMs, () => fail("no answer in time"));
-      const fail = (why: string): void => {
+      const deadline = this.clock.after(timeoutMs, () => fail("no answer before the deadline"));
+      const fail = (reason: string): void => {
         deadline.cancel();
         req.destroy();
-        reject(new NoAnswer(`${method} ${path}: ${why}`));
+        reject(new NoAnswer(`${method} ${path}: ${reason}`));
       };
       req.on("error", (error) => fail(error.message));
       req.on("response", (res) => {
@@ -91,16 +91,16 @@
         let size = 0;
         res.on("data", (chunk: Buffer) => {
           size += chunk.length;
-          if (size > MAX_ANSWER) fail("answer too large");
+          if (size > MAX_ANSWER_BYTES) fail("answer is larger than 64 MiB");
           else chunks.push(chunk);
         });
         res.on("error", (error) => fail(error.message));
-        res.on("aborted", () => fail("cut off"));
+        res.on("aborted", () => fail("connection closed before the end of the answer"));
         res.on("end", () => {
           deadline.cancel();
           const status = res.statusCode ?? 0;
-          const wait = Number(res.headers["retry-after"] ?? Number.NaN);
-          const retryAfterS = Number.isFinite(wait) ? wait : undefined;
+          const retryAfter = Number(res.headers["retry-after"] ?? Number.NaN);
+          const retryAfterS = Number.isFinite(retryAfter) ? retryAfter : undefined;
           const bytes = chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks);
           resolve({ status, retryAfterS, bytes });
         });
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -5,9 +5,9 @@
 export interface Reply {
   status: number;
   body?: object;
-  /** Instead of a body in CBOR. */
+  /** Plain text, sent instead of a CBOR body. */
   text?: string;
-  /** A body that is encoded already: one encoding serves all who get it. */
+  /** A body that is already encoded, so that it can be encoded once for many replies. */
   encoded?: Buffer;
   headers?: Record<string, string>;
 }
@@ -23,9 +23,9 @@
   find(path: string): { routes: Route[]; params: string[] } | null;
 }
 
-export const BODY_LIMIT = 64 * 1024;
-/** Less than a packet holds, with the headers. */
-const ONE_PIECE = 1024;
+export const MAX_BODY_BYTES = 64 * 1024;
+/** Small enough that body and headers fit into one packet. */
+const SINGLE_WRITE_MAX_BYTES = 1024;
 
 export const retryLater = (status: 429 | 503, reason: string, seconds = 1): Reply => ({
   status,
@@ -43,32 +43,32 @@
     "content-length": payload.length,
     ...reply.headers,
   });
-  // As text, a small body goes out in one piece with its headers, at less cost than in two.
-  if (payload.length <= ONE_PIECE) res.end(payload.toString("latin1"), "latin1");
+  // A small body is sent as text: then Node writes it together with the headers, which costs less.
+  if (payload.length <= SINGLE_WRITE_MAX_BYTES) res.end(payload.toString("latin1"), "latin1");
   else res.end(payload);
 }
 
 function handle(router: Router, log: Log, req: IncomingMessage, res: ServerResponse): void {
   const url = req.url ?? "/";
-  const mark = url.indexOf("?");
-  const found = router.find(mark < 0 ? url : url.slice(0, mark));
-  const refuse = (status: number, reason: string): void => {
-    // What is left of the body is not read, so the connection cannot be used again.
+  const queryStart = url.indexOf("?");
+  const found = router.find(queryStart < 0 ? url : url.slice(0, queryStart));
+  const rejectRequest = (status: number, reason: string): void => {
+    // The rest of the body is not parsed, so the connection cannot be reused.
     send(res, { status, body: { error: reason }, headers: { connection: "close" } });
     req.resume();
   };
   const declared = Number(req.headers["content-length"] ?? 0);
-  if (declared > BODY_LIMIT) {
-    refuse(413, "body too large");
+  if (declared > MAX_BODY_BYTES) {
+    rejectRequest(413, "body too large");
     return;
   }
   if (found === null) {
-    refuse(404, "unknown path");
+    rejectRequest(404, "unknown path");
     return;
   }
   const route = found.routes.find((candidate) => candidate.method === req.method);
   if (route === undefined) {
-    refuse(405, "method not allowed");
+    rejectRequest(405, "method not allowed");
     return;
   }
 
@@ -76,8 +76,8 @@
   let size = 0;
   req.on("data", (chunk: Buffer) => {
     size += chunk.length;
-    if (size <= BODY_LIMIT) chunks.push(chunk);
-    else if (!res.headersSent) refuse(413, "body too large");
+    if (size <= MAX_BODY_BYTES) chunks.push(chunk);
+    else if (!res.headersSent) rejectRequest(413, "body too large");
   });
   req.on("error", () => res.destroy());
   req.on("end", () => {
@@ -91,16 +91,16 @@
         return;
       }
     }
-    const failed = (error: unknown): void => {
-      log.error({ err: error, path: url }, "request failed");
+    const onError = (error: unknown): void => {
+      log.error({ err: error, path: url }, "request handler failed; answered with status 503");
       send(res, retryLater(503, "internal error"));
     };
     try {
       const reply = route.run({ body, params: found.params });
-      if (reply instanceof Promise) reply.then((value) => send(res, value), failed);
+      if (reply instanceof Promise) reply.then((value) => send(res, value), onError);
       else send(res, reply);
     } catch (error) {
-      failed(error);
+      onError(error);
     }
   });
 }
--- a/src/state/admission.ts
+++ b/src/state/admission.ts
@@ -1,89 +1,90 @@
 import type { Clock } from "../clock.js";
 import { RateLimiter } from "./rate-limiter.js";
 
-/** PROTOCOL: a user comes back after at most so long. Who has not is not waiting any more. */
-const RETURNS_MS = 30_000;
+/** PROTOCOL: a user retries within this time. A name not seen for longer is no longer waiting. */
+const WAITING_TIMEOUT_MS = 30_000;
 
-/** Names of the waiting that are kept; beyond them a repetition is as good as a new question. */
-const MOST = 4096;
+/** How many names each map keeps; beyond that a retry is treated like a first request. */
+const MAX_NAMES = 4096;
 
-interface Waiting {
-  askedAt: number;
+interface WaitingEntry {
+  lastRequestAt: number;
 }
 
 /**
- * Lets as many questions through as there is budget for, and when there are more, those that have
- * waited longest: drawn by chance alone, one question of many is refused again and again for as long
- * as the operators call forgotten (75 s). Nobody is held back: who may not pass is told so at once,
- * and passes later, in the order in which they came back.
+ * Admits as many requests as the rate limiter allows. When there are more, it prefers the names that
+ * have waited longest: with a random choice, one request among many is refused repeatedly, for as
+ * long as the operators' limit for a forgotten request (75 s). Requests are not queued: one that is
+ * not admitted is refused at once, and its retries are admitted in the order of the first retry.
  *
- * Owned by its controller, in memory only: after a restart all are new again. Bounded by `MOST`.
+ * Belongs to one controller and lives in memory only: a restart clears it. Each map is bounded by
+ * `MAX_NAMES`.
  */
 export class Admission {
-  readonly #budget: RateLimiter;
-  /** Who was refused once. Floods of questions that are asked only once stay here. */
-  readonly #once = new Map<string, Waiting>();
-  /** Who came back and was refused again, in that order. */
-  readonly #waiting = new Map<string, Waiting>();
+  readonly #limiter: RateLimiter;
+  /** Names that were refused once. A flood of names that never retry stays in this map. */
+  readonly #refusedOnce = new Map<string, WaitingEntry>();
+  /** Names that retried and were refused again, in the order of that first retry. */
+  readonly #waiting = new Map<string, WaitingEntry>();
   refused = 0;
 
   constructor(
-    /** Questions a second. */
+    /** Requests admitted per second. */
     readonly rate: number,
     readonly clock: Clock,
   ) {
-    this.#budget = new RateLimiter(rate, Math.max(1, rate), clock);
+    this.#limiter = new RateLimiter(rate, Math.max(1, rate), clock);
   }
 
   get waiting(): number {
     return this.#waiting.size;
   }
 
-  /** Whether a question about this passes; if not, its repetition has better odds. */
+  /** Whether a request for this name is admitted; if not, its retries get preference. */
   admit(name: string): boolean {
     const now = this.clock.now();
-    this.#expire(this.#once, now);
-    this.#expire(this.#waiting, now);
-    const first = this.#amongFirst(name);
-    // Half of what can be saved up is for those who have waited longest, while there are any.
-    const kept = first || this.#waiting.size === 0 ? 0 : this.#budget.burst / 2;
-    if (this.#budget.take(1, kept)) {
-      this.#once.delete(name);
+    this.#dropExpired(this.#refusedOnce, now);
+    this.#dropExpired(this.#waiting, now);
+    const preferred = this.#isAmongFirst(name);
+    // While names are waiting, half of the burst is reserved for those that have waited longest.
+    const reserved = preferred || this.#waiting.size === 0 ? 0 : this.#limiter.burst / 2;
+    if (this.#limiter.take(1, reserved)) {
+      this.#refusedOnce.delete(name);
       this.#waiting.delete(name);
       return true;
     }
     this.refused++;
-    const known = this.#waiting.get(name);
-    if (known !== undefined) known.askedAt = now;
-    else if (this.#waiting.size < MOST && this.#once.delete(name)) {
-      this.#waiting.set(name, { askedAt: now });
+    const entry = this.#waiting.get(name);
+    if (entry !== undefined) entry.lastRequestAt = now;
+    else if (this.#waiting.size < MAX_NAMES && this.#refusedOnce.delete(name)) {
+      this.#waiting.set(name, { lastRequestAt: now });
     } else {
-      // A flood pushes the oldest out, not those who have just come and will be back within seconds.
-      const [oldest] = this.#once.size < MOST ? [] : this.#once.keys();
-      if (oldest !== undefined) this.#once.delete(oldest);
-      this.#once.delete(name);
-      this.#once.set(name, { askedAt: now });
+      // A full map drops its oldest name, not the recent ones, which retry within seconds.
+      const [oldest] = this.#refusedOnce.size < MAX_NAMES ? [] : this.#refusedOnce.keys();
+      if (oldest !== undefined) this.#refusedOnce.delete(oldest);
+      this.#refusedOnce.delete(name);
+      this.#refusedOnce.set(name, { lastRequestAt: now });
     }
     return false;
   }
 
-  /** Whether it is one of those who can be let through within about two seconds. */
-  #amongFirst(name: string): boolean {
+  /** Whether the name is near enough to the head to be admitted within about two seconds. */
+  #isAmongFirst(name: string): boolean {
     if (!this.#waiting.has(name)) return false;
-    let places = Math.max(1, 2 * this.rate);
+    let placesLeft = Math.max(1, 2 * this.rate);
     for (const other of this.#waiting.keys()) {
       if (other === name) return true;
-      if (--places <= 0) return false;
+      if (--placesLeft <= 0) return false;
     }
     return false;
   }
 
-  /** Some of the oldest who have not come back in time: each question pays for two of them. */
-  #expire(among: Map<string, Waiting>, now: number): void {
-    let looks = 2;
-    for (const [name, { askedAt }] of among) {
-      if (now - askedAt > RETURNS_MS) among.delete(name);
-      if (--looks <= 0) return;
+  /** Drops names that have not retried in time; each request checks the two oldest ones. */
+  #dropExpired(entries: Map<string, WaitingEntry>, now: number): void {
+    let checksLeft = 2;
+    for (const [name, { lastRequestAt }] of entries) {
+      if (now - lastRequestAt > WAITING_TIMEOUT_MS) entries.delete(name);
+      if (--checksLeft <= 0) return;
     }
   }
 }
--- a/src/state/rate-limiter.ts
+++ b/src/state/rate-limiter.ts
@@ -1,11 +1,11 @@
 import type { Clock } from "../clock.js";
 
-/** A token bucket: `rate` a second, with bursts of up to `burst`. */
+/** A token bucket: `rate` tokens per second, with bursts of up to `burst`. */
 export class RateLimiter {
   #rate: number;
   #burst: number;
   #level: number;
-  #at: number;
+  #refilledAt: number;
 
   constructor(
     rate: number,
@@ -15,7 +15,7 @@
     this.#rate = rate;
     this.#burst = burst;
     this.#level = burst;
-    this.#at = clock.now();
+    this.#refilledAt = clock.now();
   }
 
   get rate(): number {
@@ -26,7 +26,7 @@
     return this.#burst;
   }
 
-  /** From now on this much; what has been saved up stays, as far as it fits. */
+  /** Sets a new rate and burst. The tokens in the bucket are kept, up to the new burst. */
   change(rate: number, burst: number): void {
     this.#refill();
     this.#rate = rate;
@@ -36,23 +36,26 @@
 
   #refill(): void {
     const now = this.clock.now();
-    this.#level = Math.min(this.#burst, this.#level + ((now - this.#at) / 1000) * this.#rate);
-    this.#at = now;
+    this.#level = Math.min(
+      this.#burst,
+      this.#level + ((now - this.#refilledAt) / 1000) * this.#rate,
+    );
+    this.#refilledAt = now;
   }
 
-  /** Takes `n` when that leaves at least `keep` for requests that matter more. */
-  take(n: number, keep = 0): boolean {
+  /** Takes `count` tokens if at least `reserve` remain for more important requests. */
+  take(count: number, reserve = 0): boolean {
     this.#refill();
-    // A request larger than the bucket may go when the bucket is full; it leaves a debt.
-    if (this.#level < Math.min(n + keep, this.#burst)) return false;
-    this.#level -= n;
+    // A request larger than the bucket passes when the bucket is full; the level becomes negative.
+    if (this.#level < Math.min(count + reserve, this.#burst)) return false;
+    this.#level -= count;
     return true;
   }
 
-  /** For what cannot be put off, such as lease renewals: it is counted, never refused. */
-  force(n: number): void {
+  /** Takes tokens for what cannot wait, such as lease renewals: counted, but never refused. */
+  force(count: number): void {
     this.#refill();
-    this.#level -= n;
+    this.#level -= count;
   }
 
   get level(): number {
--- a/src/state/record-validator.ts
+++ b/src/state/record-validator.ts
@@ -1,74 +1,76 @@
-/** What reads records of one kind; false for what it would refuse. */
+/** Whether the reader of a kind of record accepts a value. */
 export type RecordReader = (value: unknown, key: string) => boolean;
 
-/** Where in a value something is that would not be given back as it is, or null. */
-function lossy(value: unknown, at = ""): string | null {
+/** Describes the first part of a value that the store would not return unchanged, or null. */
+function findUnstorable(value: unknown, path = ""): string | null {
   switch (typeof value) {
     case "string":
     case "boolean":
       return null;
     case "number":
-      return Number.isFinite(value) ? null : `${at || "the value"} is ${value}`;
+      return Number.isFinite(value)
+        ? null
+        : `${path || "the value"} is ${value}, not a finite number`;
     case "object":
       break;
     default:
-      return `${at || "the value"} is ${value === undefined ? "missing" : `a ${typeof value}`}`;
+      return `${path || "the value"} is ${value === undefined ? "missing" : `a ${typeof value}`}`;
   }
   if (value === null) return null;
   for (const [name, inner] of Object.entries(value)) {
-    // A field of a map that is undefined is left out, as in JSON; an item of a list is not.
+    // An undefined field of a map is left out, as in JSON; an undefined item of a list is not.
     if (inner === undefined && !Array.isArray(value)) continue;
-    const fault = lossy(inner, at === "" ? name : `${at}.${name}`);
+    const fault = findUnstorable(inner, path === "" ? name : `${path}.${name}`);
     if (fault !== null) return fault;
   }
   return null;
 }
 
 /**
- * The one place that every write passes: nothing is written that its own reader would refuse. A
- * slice that was not a number once was, and a team had no slice until it was taken for 0.
+ * Validates every record before it is written: nothing is written that its own reader would reject.
+ * Once a slice was written that was not a number, and a team had no slice until it was read as 0.
  *
- * Whoever writes several records at once asks before (`fault`) and leaves out the one that is
- * refused; what is written all the same is refused by the client of the store (`Unwritable`).
+ * Code that writes several records at once checks each one first (`fault`) and leaves invalid ones
+ * out; the client of the store rejects a transaction that still has one (`Unwritable`).
  */
 export class RecordValidator {
-  readonly #kinds: { pattern: RegExp; reads: RecordReader }[] = [];
-  /** Values that have passed: they are asked about twice, and are not changed in between. */
-  readonly #passed = new WeakSet<object>();
-  /** Keys that have been refused, until they pass. */
-  readonly #told = new Set<string>();
+  readonly #readers: { pattern: RegExp; accepts: RecordReader }[] = [];
+  /** Values found valid: each is checked twice, and is not changed in between. */
+  readonly #validated = new WeakSet<object>();
+  /** Keys whose last value was invalid, so that each is reported once. */
+  readonly #reportedKeys = new Set<string>();
 
   constructor(
-    /** Told once, until a value for the key passes. */
-    readonly refused: (key: string, why: string) => void = () => undefined,
+    /** Called once per key with an invalid value, and again only after a valid one. */
+    readonly onInvalid: (key: string, reason: string) => void = () => undefined,
   ) {}
 
-  /** Records whose key matches are read by `reads`; of others only what a store keeps is checked. */
-  add(pattern: RegExp, reads: RecordReader): this {
-    this.#kinds.push({ pattern, reads });
+  /** `accepts` checks records whose key matches; all others are only checked to be storable. */
+  add(pattern: RegExp, accepts: RecordReader): this {
+    this.#readers.push({ pattern, accepts });
     return this;
   }
 
   /** Why a record may not be written, or null. */
   fault(key: string, value: unknown): string | null {
-    const known = typeof value === "object" && value !== null;
-    if (known && this.#passed.has(value)) return null;
-    const why = lossy(value) ?? this.#unread(key, value);
-    if (why === null) {
-      if (known) this.#passed.add(value);
-      this.#told.delete(key);
+    const isObject = typeof value === "object" && value !== null;
+    if (isObject && this.#validated.has(value)) return null;
+    const reason = findUnstorable(value) ?? this.#readerRejection(key, value);
+    if (reason === null) {
+      if (isObject) this.#validated.add(value);
+      this.#reportedKeys.delete(key);
       return null;
     }
-    if (!this.#told.has(key)) {
-      this.#told.add(key);
-      this.refused(key, why);
+    if (!this.#reportedKeys.has(key)) {
+      this.#reportedKeys.add(key);
+      this.onInvalid(key, reason);
     }
-    return why;
+    return reason;
   }
 
-  #unread(key: string, value: unknown): string | null {
-    for (const { pattern, reads } of this.#kinds) {
-      if (pattern.test(key) && !reads(value, key)) return "its own reader would refuse it";
+  #readerRejection(key: string, value: unknown): string | null {
+    for (const { pattern, accepts } of this.#readers) {
+      if (pattern.test(key) && !accepts(value, key)) return "its own reader would reject the value";
     }
     return null;
   }
--- a/src/state/retry-after.ts
+++ b/src/state/retry-after.ts
@@ -1,17 +1,17 @@
 import type { Clock } from "../clock.js";
 
-/** PROTOCOL: a user waits for `Retry-After` up to so many seconds. */
-const LONGEST_S = 30;
+/** PROTOCOL: the longest `Retry-After` that a user waits for, in seconds. */
+const MAX_RETRY_AFTER_S = 30;
 
 /**
- * Who cannot be served now is told when to come back: one after the other, as fast as there is room
- * for them, and not all of them a second later.
+ * Spreads the `Retry-After` times of requests that cannot be served now, at the rate at which they
+ * can be served, so that they do not all come back after one second.
  */
 export class RetryAfterQueue {
-  #next = Number.NEGATIVE_INFINITY;
+  #lastTurnAt = Number.NEGATIVE_INFINITY;
 
   constructor(
-    /** How many can be served a second. */
+    /** Requests that can be served per second. */
     readonly perSecond: () => number,
     readonly clock: Clock,
   ) {}
@@ -20,8 +20,11 @@
   nextDelayS(): number {
     const now = this.clock.now();
     const gapMs = 1000 / Math.max(this.perSecond(), 1e-3);
-    // A turn is given out once. Beyond what may be said nobody is told more: those come back together.
-    this.#next = Math.min(Math.max(now + 1000, this.#next + gapMs), now + LONGEST_S * 1000);
-    return Math.ceil((this.#next - now) / 1000);
+    // Each time slot is given out once. Beyond the longest delay all get that delay and come back together.
+    this.#lastTurnAt = Math.min(
+      Math.max(now + 1000, this.#lastTurnAt + gapMs),
+      now + MAX_RETRY_AFTER_S * 1000,
+    );
+    return Math.ceil((this.#lastTurnAt - now) / 1000);
   }
 }
--- a/src/state/schema.ts
+++ b/src/state/schema.ts
@@ -2,16 +2,17 @@
 import type { Mirror } from "./mirror.js";
 
 /**
- * How the records of the store are to be read. 1: headers hold all jobs that ever were, and there
- * is no row that says so. 2: jobs that are over move into the archive (`src/archive`).
+ * Version of the store's record format. 1: headers hold all jobs ever submitted, and the store has no
+ * schema row. 2: finished jobs move into the archive (`src/archive`).
  *
- * A program that knows only the first would answer 404 for an archived job, or take it once more.
- * So the second begins only while every controller of the platform is there and knows it; and
- * leadership and machine types have other keys then, with something in the place of leadership that
- * never ends. An older program that is started later leads nothing and learns no machine types, so
- * it takes no jobs and is never healthy. 3: the configuration changes while serving
- * (`src/configuration`). A program that knows only the second would decide by its files, so it ends
- * at once; the third begins only while every controller is there and knows it.
+ * A program that knows only schema 1 would answer 404 for an archived job, or accept it a second
+ * time. So schema 2 is introduced only while every controller of the platform is present and knows
+ * it. The leader claim and the machine types have other keys from then on, and a record without a
+ * lease stays at the former key of the leader claim. An older program started later cannot lead and
+ * learns no machine types, so it accepts no jobs and is never healthy. 3: the configuration changes
+ * at run time (`src/configuration`). A program that knows only schema 2 would use its configuration
+ * files, so it exits at once; schema 3 is introduced only while every controller is present and
+ * knows it.
  */
 export const KNOWN_SCHEMA = 3;
 export const ARCHIVE_SCHEMA = 2;
@@ -19,11 +20,11 @@
 
 export interface Schema {
   version: number;
-  /** Of the row; 0 while there is none. Whoever writes on condition of it writes by this schema. */
+  /** Version of the row, 0 while there is none. A write conditional on it is valid for this schema. */
   stamp: number;
 }
 
-/** The schema as far as a controller has heard; NaN for a row that cannot be read. */
+/** The schema as the mirror has it; version NaN for an unreadable row. */
 export function schemaOf(mirror: Mirror): Schema {
   const row = mirror.rows.get(keys.schema);
   if (row === undefined) return { version: 1, stamp: 0 };
@@ -37,9 +38,9 @@
 export const typesKey = (mirror: Mirror): string =>
   schemaOf(mirror).version === 1 ? keys.types : keys.types2;
 
-/** Why this program cannot go on with a store, or null. */
+/** Why this program cannot read the store, or null. */
 export function schemaIncompatibility({ version }: Schema): string | null {
   if (Number.isInteger(version) && version >= 1 && version <= KNOWN_SCHEMA) return null;
-  const shown = Number.isNaN(version) ? "that cannot be read" : String(version);
-  return `the state service holds records of schema ${shown}; this program knows up to ${KNOWN_SCHEMA}`;
+  const shown = Number.isNaN(version) ? "not a number" : String(version);
+  return `the schema version of the state service is ${shown}; this program supports up to ${KNOWN_SCHEMA}`;
 }
--- a/src/state/store.ts
+++ b/src/state/store.ts
@@ -6,17 +6,17 @@
 
 export type { Change, Condition, Event, Page, Row } from "../wire/store.js";
 
-/** Certainly not executed: an outage, or over a rate limit. */
+/** The request was certainly not executed: the service is unavailable, or a rate limit was hit. */
 export class Refused extends Error {}
-/** Over the rate that the service allows for all together. */
+/** The service's rate limit for all controllers together was exceeded. */
 export class Busy extends Refused {}
-/** Not executed and never will be: the service finds fault with it. */
+/** The service rejected the request as invalid: not executed, and a retry would not help. */
 export class Rejected extends Refused {}
-/** Not sent: one of its records could not be read back (`RecordValidator`). */
+/** The transaction was not sent: one of its records is invalid (`RecordValidator`). */
 export class Unwritable extends Rejected {}
-/** The service answered with something this program does not understand. */
+/** The service's answer could not be parsed. */
 export class Garbled extends Error {}
-/** Our lease is no longer there. */
+/** The lease no longer exists in the service. */
 export class NoLease extends Error {}
 
 export type TxnResult =
@@ -31,11 +31,11 @@
   conditions: number;
   valueBytes: number;
   txnBytes: number;
-  /** How large a value may still be where one as large is there already; until the service says no. */
+  /** Size limit where the store already has a value that large, until the service rejects it. */
   wideBytes?: number;
 }
 
-/** What settings say of the state service, as far as limits go. */
+/** The state service's limits in the settings. */
 export interface StateSettings {
   rps: number;
   write_rps: number;
@@ -44,37 +44,37 @@
   next?: { rps?: number; write_rps?: number; value_kb?: number; txn_ops?: number };
 }
 
-/** The smaller of the limits that hold now and of those that will: nobody is told when they change. */
-export function storeLimits({ next = {}, ...now }: StateSettings): StoreLimits {
-  const least = (name: "rps" | "write_rps" | "value_kb" | "txn_ops"): number =>
-    Math.min(now[name], next[name] ?? now[name]);
+/** The lower of the present and the coming limits, since the time of the change is not announced. */
+export function storeLimits({ next = {}, ...present }: StateSettings): StoreLimits {
+  const lowerOf = (name: "rps" | "write_rps" | "value_kb" | "txn_ops"): number =>
+    Math.min(present[name], next[name] ?? present[name]);
   return {
-    rps: least("rps"),
-    writeRps: least("write_rps"),
-    ops: least("txn_ops"),
-    conditions: least("txn_ops") * 4,
-    valueBytes: least("value_kb") * 1024,
+    rps: lowerOf("rps"),
+    writeRps: lowerOf("write_rps"),
+    ops: lowerOf("txn_ops"),
+    conditions: lowerOf("txn_ops") * 4,
+    valueBytes: lowerOf("value_kb") * 1024,
     txnBytes: 48 * 1024,
-    wideBytes: now.value_kb * 1024,
+    wideBytes: present.value_kb * 1024,
   };
 }
 
-/** What the rest of the program needs of the state service; tests have one in memory. */
+/** The operations of the state service that this program uses; tests have one in memory. */
 export interface Store {
   readonly limits: StoreLimits;
   readonly writes: RateLimiter;
-  /** What every record has to pass before it is written. */
+  /** Validates every record before it is written. */
   readonly writable: RecordValidator;
-  /** Says how many controllers share the service's limits now. */
+  /** Sets how many controllers share the service's limits now. */
   divide(controllers: number): void;
   get(key: string): Promise<wire.Row | null>;
   list(prefix: string): Promise<{ rows: wire.Row[]; revision: number }>;
-  /** Up to `most` rows (1,000 and 512 KiB at the most) in order of keys, as they were at one revision. */
+  /** Up to `most` rows (limited to 1,000 rows and 512 KiB) in key order, all at one revision. */
   page(prefix: string, after: string | null, most: number): Promise<wire.Page>;
   transact(when: wire.Condition[], then: wire.Change[]): Promise<TxnResult>;
   openLease(ttlMs: number): Promise<number | string>;
   renewLease(lease: number | string, timeoutMs: number): Promise<void>;
-  /** `null` when `after` is too old and the keys must be read again. */
+  /** Null when `after` is older than the service's log of changes: the keys must be read again. */
   watch(
     prefix: string,
     after: number,
@@ -82,17 +82,17 @@
   ): Promise<{ revision: number; events: wire.Event[] } | null>;
 }
 
-/** @throws Unwritable for the first record that its own reader would refuse */
-export function mustPass(writable: RecordValidator, then: readonly wire.Change[]): void {
+/** @throws Unwritable for the first record that its own reader would reject */
+export function assertWritable(validator: RecordValidator, then: readonly wire.Change[]): void {
   for (const change of then) {
-    const why = "put" in change ? writable.fault(change.put, change.value) : null;
-    if (why !== null) throw new Unwritable(`${(change as { put: string }).put}: ${why}`);
+    const reason = "put" in change ? validator.fault(change.put, change.value) : null;
+    if (reason !== null) throw new Unwritable(`${(change as { put: string }).put}: ${reason}`);
   }
 }
 
 export class StoreClient implements Store {
   readonly writes: RateLimiter;
-  readonly #requests: RateLimiter;
+  readonly #requestLimiter: RateLimiter;
 
   constructor(
     readonly http: HttpClient,
@@ -102,17 +102,17 @@
     readonly writable = new RecordValidator(),
   ) {
     this.writes = new RateLimiter(limits.writeRps, limits.writeRps, clock);
-    this.#requests = new RateLimiter(limits.rps, limits.rps, clock);
+    this.#requestLimiter = new RateLimiter(limits.rps, limits.rps, clock);
     this.divide(1);
   }
 
   divide(controllers: number): void {
-    // A controller may use more than its even part: the others are rarely busy at the same moment,
-    // and what the service refuses is not executed. One that is alone may use all of it. The
-    // service allows one second's worth at once; a tenth is left for clocks that differ.
-    const part = Math.min(1, 1.5 / Math.max(1, controllers)) * 0.9;
-    this.writes.change(this.limits.writeRps * part, this.limits.writeRps * part);
-    this.#requests.change(this.limits.rps * part, this.limits.rps * part);
+    // A controller may use more than an equal share: the others are rarely busy at the same time,
+    // and a request that the service refuses is not executed. A single controller may use the whole
+    // rate. The service allows a burst of one second; a tenth is left for differing clocks.
+    const share = Math.min(1, 1.5 / Math.max(1, controllers)) * 0.9;
+    this.writes.change(this.limits.writeRps * share, this.limits.writeRps * share);
+    this.#requestLimiter.change(this.limits.rps * share, this.limits.rps * share);
   }
 
   async #call(
@@ -122,9 +122,9 @@
     timeoutMs = this.timeoutMs,
     urgent = false,
   ): Promise<Answer> {
-    if (urgent) this.#requests.force(1);
-    else if (!this.#requests.take(1, this.#requests.burst / 10))
-      throw new Refused("own rate limit");
+    if (urgent) this.#requestLimiter.force(1);
+    else if (!this.#requestLimiter.take(1, this.#requestLimiter.burst / 10))
+      throw new Refused("this controller's share of the state service's request rate is used up");
     const answer = await this.http.call(method, path, body, timeoutMs);
     if (answer.status === 429) throw new Busy("429");
     if (answer.status === 503) throw new Refused("503");
@@ -135,7 +135,8 @@
     const answer = await this.#call("GET", wire.paths.get(key));
     if (answer.status === 404) return null;
     const row = answer.status === 200 ? wire.parseRow(answer.body) : null;
-    if (row === null) throw new Garbled(`get ${key}: ${answer.status}`);
+    if (row === null)
+      throw new Garbled(`get ${key}: unreadable answer with status ${answer.status}`);
     return row;
   }
 
@@ -146,7 +147,7 @@
     for (;;) {
       const page: wire.Page = await this.page(prefix, after, 1000);
       rows.push(...page.rows);
-      // Pages are read at different revisions: a watch must start from the oldest.
+      // Pages are read at different revisions: a watch must start at the oldest.
       revision = Math.min(revision, page.revision);
       const last = page.rows.at(-1);
       if (!page.more || last === undefined) return { rows, revision };
@@ -157,12 +158,13 @@
   async page(prefix: string, after: string | null, most: number): Promise<wire.Page> {
     const answer = await this.#call("GET", wire.paths.list(prefix, after, most));
     const page = answer.status === 200 ? wire.parsePage(answer.body) : null;
-    if (page === null) throw new Garbled(`list ${prefix}: ${answer.status}`);
+    if (page === null)
+      throw new Garbled(`list ${prefix}: unreadable answer with status ${answer.status}`);
     return page;
   }
 
   async transact(when: wire.Condition[], then: wire.Change[]): Promise<TxnResult> {
-    mustPass(this.writable, then);
+    assertWritable(this.writable, then);
     const answer = await this.#call(
       "POST",
       wire.paths.transaction,
@@ -175,12 +177,12 @@
     }
     if (answer.status === 400) {
       if (then.some((change) => "put" in change && change.lease !== undefined)) {
-        throw new NoLease("no such lease");
+        throw new NoLease("transaction rejected: the lease no longer exists");
       }
       throw new Rejected(`transaction rejected: ${JSON.stringify(answer.body)}`);
     }
-    // Some other status: nothing says that it was not executed.
-    throw new NoAnswer(`transaction: ${answer.status}`);
+    // With any other status the transaction may have been executed.
+    throw new NoAnswer(`transaction: unexpected status ${answer.status}`);
   }
 
   async openLease(ttlMs: number): Promise<number | string> {
@@ -192,14 +194,15 @@
       true,
     );
     const lease = answer.status === 200 ? wire.parseLease(answer.body) : null;
-    if (lease === null) throw new Garbled(`lease: ${answer.status}`);
+    if (lease === null)
+      throw new Garbled(`open lease: unreadable answer with status ${answer.status}`);
     return lease;
   }
 
   async renewLease(lease: number | string, timeoutMs: number): Promise<void> {
     const answer = await this.#call("POST", wire.paths.renew(lease), undefined, timeoutMs, true);
-    if (answer.status === 404) throw new NoLease("lease ended");
-    if (answer.status !== 200) throw new Garbled(`renew: ${answer.status}`);
+    if (answer.status === 404) throw new NoLease("lease not renewed: it no longer exists");
+    if (answer.status !== 200) throw new Garbled(`renew lease: unexpected status ${answer.status}`);
   }
 
   async watch(
@@ -215,8 +218,9 @@
       true,
     );
     if (answer.status === 410) return null;
-    const seen = answer.status === 200 ? wire.parseEvents(answer.body) : null;
-    if (seen === null) throw new Garbled(`watch: ${answer.status}`);
-    return seen;
+    const changes = answer.status === 200 ? wire.parseEvents(answer.body) : null;
+    if (changes === null)
+      throw new Garbled(`watch: unreadable answer with status ${answer.status}`);
+    return changes;
   }
 }
--- a/src/state/watched-transaction.ts
+++ b/src/state/watched-transaction.ts
@@ -2,18 +2,18 @@
 import type { Mirror } from "./mirror.js";
 import type { Change, Condition, Store, TxnResult } from "./store.js";
 
-/** As values are in the store: fields that are not set are not there. */
-const plain = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
+/** The value as the store returns it: without undefined fields. */
+const asStored = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 
 /**
- * Carries out a transaction that writes a watched key, and knows that it has been as soon as the answer
- * or the watch tells, whichever is first. An answer alone may be lost: whoever waited for it to its
- * deadline had users submit and cancel again seconds later.
+ * Executes a transaction that writes a watched key. It is confirmed by the answer or by the watch,
+ * whichever comes first. The answer alone may be lost: callers that waited for it until its deadline
+ * made users submit and cancel again seconds later.
  *
- * What the watch shows counts if it is the very value, at a version that the condition on the key had
- * not met before: it was written after the call.
+ * An event of the watch counts if it has exactly the written value, at a version above the one in the
+ * condition on the key: then it was written after the call.
  *
- * @throws what `transact` throws, if the watch has told nothing by then
+ * @throws what `transact` throws, if the watch has not confirmed the transaction by then
  */
 export async function transactConfirmedByWatch(
   store: Store,
@@ -23,22 +23,22 @@
   then: Change[],
 ): Promise<TxnResult> {
   const put = then.find((change) => "put" in change && change.put === key);
-  const value = put !== undefined && "put" in put ? plain(put.value) : undefined;
-  const before = when.find((condition) => condition.key === key)?.version ?? 0;
-  let stop = (): void => undefined;
-  const seen = new Promise<TxnResult>((resolve) => {
-    stop = mirror.onKey(key, (event) => {
-      if (event.deleted || event.version <= before) return;
-      if (isDeepStrictEqual(plain(event.value), value))
+  const expected = put !== undefined && "put" in put ? asStored(put.value) : undefined;
+  const versionBefore = when.find((condition) => condition.key === key)?.version ?? 0;
+  let stopListening = (): void => undefined;
+  const confirmed = new Promise<TxnResult>((resolve) => {
+    stopListening = mirror.onKey(key, (event) => {
+      if (event.deleted || event.version <= versionBefore) return;
+      if (isDeepStrictEqual(asStored(event.value), expected))
         resolve({ ok: true, revision: event.version });
     });
   });
-  const told = store.transact(when, then);
+  const answered = store.transact(when, then);
   try {
-    return await Promise.race([told, seen]);
+    return await Promise.race([answered, confirmed]);
   } finally {
-    stop();
-    // Nobody waits for it any more.
-    told.catch(() => undefined);
+    stopListening();
+    // A later failure of the request has no caller any more.
+    answered.catch(() => undefined);
   }
 }
--- a/src/wire/cbor.ts
+++ b/src/wire/cbor.ts
@@ -1,17 +1,17 @@
 import { decode as decodeOne, encode as encodeOne } from "cborg";
 
-// Receivers know maps keyed by text, lists, text, numbers, booleans and null, nothing else.
-const ENCODE = { ignoreUndefinedProperties: true };
-const DECODE = { allowUndefined: false, allowNaN: false, allowInfinity: false };
+// Receivers accept only maps with text keys, lists, text, numbers, booleans and null.
+const ENCODE_OPTIONS = { ignoreUndefinedProperties: true };
+const DECODE_OPTIONS = { allowUndefined: false, allowNaN: false, allowInfinity: false };
 
 export function encode(value: unknown): Buffer {
-  const bytes = encodeOne(value, ENCODE);
+  const bytes = encodeOne(value, ENCODE_OPTIONS);
   return Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
 }
 
 /** Throws on anything that is not exactly one CBOR value. Integers beyond 2^53 become bigints. */
 export function decode(body: Uint8Array): unknown {
-  return decodeOne(body, DECODE);
+  return decodeOne(body, DECODE_OPTIONS);
 }
 
 export function isMap(value: unknown): value is Record<string, unknown> {
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -31,7 +31,7 @@
     `/hosts?most=${PAGE_SIZE}${after === "" ? "" : `&after=${encodeURIComponent(after)}`}`,
 };
 
-const num = (value: unknown, fallback = 0): number =>
+const finiteOr = (value: unknown, fallback = 0): number =>
   typeof value === "number" && Number.isFinite(value) ? value : fallback;
 
 export function parseTypes(body: unknown): MachineType[] | null {
@@ -41,13 +41,15 @@
     if (!isMap(item) || typeof item.name !== "string") return null;
     types.push({
       name: item.name,
-      cpus: num(item.cores),
-      gpus: num(item.accelerators),
-      memGb: num(item.memGb),
-      price: num(item.rate),
-      spotPrice: num(item.spotPrice, num(item.rate)),
-      bootS: num(item.bootS),
-      zones: Array.isArray(item.berths) ? item.berths.filter((z) => typeof z === "string") : [],
+      cpus: finiteOr(item.cores),
+      gpus: finiteOr(item.accelerators),
+      memGb: finiteOr(item.memGb),
+      price: finiteOr(item.rate),
+      spotPrice: finiteOr(item.spotPrice, finiteOr(item.rate)),
+      bootS: finiteOr(item.bootS),
+      zones: Array.isArray(item.berths)
+        ? item.berths.filter((zone) => typeof zone === "string")
+        : [],
     });
   }
   return types;
@@ -65,19 +67,19 @@
       spot: item.borrowed === true,
       state:
         item.status === "failed" ? "failed" : item.status === "starting" ? "booting" : "running",
-      ageS: num(item.heldS),
+      ageS: finiteOr(item.heldS),
     });
   }
   return { machines, more: body.more === true };
 }
 
 export const rentBody = (
-  request: string,
+  requestId: string,
   type: string,
   zone: string,
   spot: boolean,
   count: number,
-): object => ({ charter: request, build: type, berth: zone, borrowed: spot, howMany: count });
+): object => ({ charter: requestId, build: type, berth: zone, borrowed: spot, howMany: count });
 
 export const returnBody = (machines: string[]): object => ({ hosts: machines });
 
--- a/src/wire/jobs.ts
+++ b/src/wire/jobs.ts
@@ -1,20 +1,20 @@
 import { z } from "zod";
 import { isMap } from "./cbor.js";
 
-/** Lower rank is stopped first. */
+/** In ascending order: tasks of a lower rank are stopped first. */
 export const PRIORITIES = ["best_effort", "normal", "urgent", "prod"] as const;
 export type Priority = (typeof PRIORITIES)[number];
 export const MAX_TASKS = 100_000;
 
-/** Independent tasks, replicas until cancelled, or tasks that only run all at the same time. */
+/** Independent tasks; replicas that run until cancelled; or tasks that run only all together. */
 export type Kind = "array" | "service" | "gang";
-const KINDS: Record<"batch" | "service" | "ensemble", Kind> = {
+const KIND_BY_SHAPE: Record<"batch" | "service" | "ensemble", Kind> = {
   batch: "array",
   service: "service",
   ensemble: "gang",
 };
 
-/** What a user asks for, in the terms of this code. Also what the store keeps. */
+/** A job as submitted, in the terms of this code. Stored in this form. */
 export interface JobSpec {
   class: string;
   team: string;
@@ -35,39 +35,39 @@
   checkpointS: number;
   saveS: number;
   deadlineS: number | null;
-  /** Only with the package for submit files; absent for all other jobs. */
+  /** Set only by the package for submit files; absent for all other jobs. */
   match?: Match;
-  /** Jobs that have to be done before any task of this one starts; absent for all other jobs. */
+  /** Jobs that have to be done before any task of this one starts; absent if there are none. */
   after?: After;
 }
 
 export interface After {
   jobs: string[];
-  /** When the last of those that were done already was, milliseconds of the time of day. */
+  /** When the last of the jobs already done was done, wall clock ms. */
   since?: number;
-  /** In the store: the machine types that the job allows, `types` being one that no machine has. */
+  /** In the store: the machine types that the job allows, as its `types` names one no machine has. */
   types?: string[] | null;
 }
 
-/** What a job asks of machines in expressions. The texts are the package's to read; "" is none. */
+/** A job's expressions about machines. Only the package parses these texts; "" means none. */
 export interface Match {
   ad: string;
   requirements: string;
   rank: string;
-  /** How many of its tasks may be placed at a time; null for any number. */
+  /** How many of its tasks may be placed at the same time; null for no limit. */
   atOnce: number | null;
 }
 
 /**
- * The only machine type that a job with expressions names. No machine has it: a controller that
- * does not know of expressions refuses such a job, and one that takes it over starts none of it.
+ * The only machine type that a job with expressions names. No machine has it, so a controller without
+ * support for expressions refuses such a job, and starts none of its tasks if it takes the job over.
  */
 export const BY_REQUIREMENTS = "(requirements)";
 
-const JOB_ID = /^wk-[0-9A-Za-z][0-9A-Za-z_.-]{0,99}$/;
+const JOB_ID_PATTERN = /^wk-[0-9A-Za-z][0-9A-Za-z_.-]{0,99}$/;
 
 export function isJobId(text: string): boolean {
-  return JOB_ID.test(text);
+  return JOB_ID_PATTERN.test(text);
 }
 
 const amount = z.number().finite().nonnegative();
@@ -78,7 +78,7 @@
 const name = z.string().min(1).max(200);
 
 const submission = z.object({
-  uid: z.string().regex(JOB_ID, "not a job id"),
+  uid: z.string().regex(JOB_ID_PATTERN, "not a job id"),
   eidos: name,
   owner: name,
   shape: z.enum(["batch", "service", "ensemble"]),
@@ -102,12 +102,12 @@
   requirements: z.string().nullish(),
   rank: z.string().nullish(),
   atOnce: count.nullish(),
-  awaits: z.array(z.string().regex(JOB_ID, "not a job id")).nullish(),
+  awaits: z.array(z.string().regex(JOB_ID_PATTERN, "not a job id")).nullish(),
 });
 
 export type Parsed<T> = { ok: true; value: T } | { ok: false; reason: string };
 
-/** The id of what may be no job otherwise; null where it has none. */
+/** The job id in a body that may otherwise be invalid; null if it has none. */
 export const submittedId = (body: unknown): string | null =>
   isMap(body) && typeof body.uid === "string" && isJobId(body.uid) ? body.uid : null;
 
@@ -119,11 +119,11 @@
     return { ok: false, reason: `${issue?.path.join(".") ?? "body"}: ${issue?.message}` };
   }
   const job = result.data;
-  const match = matchOf(job);
-  const awaited = [...new Set(job.awaits ?? [])];
-  const named = job.builds?.length === 1 && job.builds[0] === BY_REQUIREMENTS;
-  if ((match !== null) !== named) {
-    const reason = `a job with expressions, and no other, has ["${BY_REQUIREMENTS}"] here`;
+  const match = parseMatch(job);
+  const dependencies = [...new Set(job.awaits ?? [])];
+  const hasExpressionType = job.builds?.length === 1 && job.builds[0] === BY_REQUIREMENTS;
+  if ((match !== null) !== hasExpressionType) {
+    const reason = `must be ["${BY_REQUIREMENTS}"] for a job with expressions, and only for such a job`;
     return { ok: false, reason: `builds: ${reason}` };
   }
   return {
@@ -133,7 +133,7 @@
       spec: {
         class: job.eidos,
         team: job.owner,
-        kind: KINDS[job.shape],
+        kind: KIND_BY_SHAPE[job.shape],
         rank: PRIORITIES.indexOf(job.urgency),
         tasks: job.pieces,
         cpus: job.cores,
@@ -150,15 +150,15 @@
         saveS: job.stashS,
         deadlineS: job.dueS ?? null,
         ...(match === null ? {} : { match }),
-        ...(awaited.length === 0 ? {} : { after: { jobs: awaited } }),
+        ...(dependencies.length === 0 ? {} : { after: { jobs: dependencies } }),
       },
     },
   };
 }
 
-type Asked = Pick<z.infer<typeof submission>, "ad" | "requirements" | "rank" | "atOnce">;
+type MatchFields = Pick<z.infer<typeof submission>, "ad" | "requirements" | "rank" | "atOnce">;
 
-function matchOf({ ad, requirements, rank, atOnce }: Asked): Match | null {
+function parseMatch({ ad, requirements, rank, atOnce }: MatchFields): Match | null {
   if (ad == null && requirements == null && rank == null && atOnce == null) return null;
   return {
     ad: ad ?? "",
@@ -178,9 +178,9 @@
   return counts === undefined ? { uid: id, status } : { uid: id, status, ...counts };
 }
 
-/** Not a path of the protocol: how things stand, for people. */
+/** Status for people; not part of the protocol. */
 export const statusPath = "/about/status";
-/** Posted `{"on": true}`: a controller gives its parts and leadership to others. */
+/** `POST` with `{"on": true}`: the controller hands its parts and leadership over to others. */
 export const drainPath = "/about/drain";
 export const jobsPath = "/api/jobs";
 export const jobPath = (id: string): string => `${jobsPath}/${encodeURIComponent(id)}`;
@@ -199,6 +199,6 @@
     status: body.status as JobStatus,
     ...(typeof done === "number" ? { done } : {}),
     ...(typeof running === "number" ? { running } : {}),
-    ...(Array.isArray(awaits) ? { awaits: awaits.filter((one) => typeof one === "string") } : {}),
+    ...(Array.isArray(awaits) ? { awaits: awaits.filter((item) => typeof item === "string") } : {}),
   };
 }
--- a/src/wire/store.ts
+++ b/src/wire/store.ts
@@ -18,7 +18,7 @@
   deleted: boolean;
 }
 
-/** A stretch of the keys under a prefix. */
+/** One page of the keys under a prefix. */
 export interface Page {
   rows: Row[];
   more: boolean;
@@ -51,18 +51,18 @@
   };
 }
 
-const integer = (value: unknown): number | null =>
+const asInteger = (value: unknown): number | null =>
   typeof value === "number" || typeof value === "bigint" ? Number(value) : null;
 
 export function parseRow(body: unknown): Row | null {
   if (!isMap(body) || typeof body.path !== "string") return null;
-  const version = integer(body.stamp);
+  const version = asInteger(body.stamp);
   return version === null ? null : { key: body.path, value: body.data, version };
 }
 
 export function parsePage(body: unknown): Page | null {
   if (!isMap(body) || !Array.isArray(body.rows)) return null;
-  const revision = integer(body.ledgerRev);
+  const revision = asInteger(body.ledgerRev);
   if (revision === null) return null;
   const rows: Row[] = [];
   for (const item of body.rows) {
@@ -74,7 +74,7 @@
 }
 
 export function parseRevision(body: unknown): number | null {
-  return isMap(body) ? integer(body.ledgerRev) : null;
+  return isMap(body) ? asInteger(body.ledgerRev) : null;
 }
 
 export function parseFailed(body: unknown): string[] {
@@ -90,14 +90,14 @@
 
 export function parseEvents(body: unknown): { revision: number; events: Event[] } | null {
   if (!isMap(body)) return null;
-  const revision = integer(body.ledgerRev);
+  const revision = asInteger(body.ledgerRev);
   if (revision === null) return null;
   const events: Event[] = [];
-  const listed = body.log ?? [];
-  if (!Array.isArray(listed)) return null;
-  for (const item of listed) {
+  const entries = body.log ?? [];
+  if (!Array.isArray(entries)) return null;
+  for (const item of entries) {
     if (!isMap(item)) return null;
-    const version = integer(item.stamp);
+    const version = asInteger(item.stamp);
     if (version === null) return null;
     if (typeof item.write === "string") {
       events.push({ key: item.write, value: item.data, version, deleted: false });
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -4,11 +4,11 @@
 export type TaskState = "fetching" | "running" | "saving" | "exited";
 
 export interface ReportedTask {
-  /** `job/index`, as on the wire. */
+  /** `job/index`, in the form of the protocol. */
   task: string;
   attempt: number;
   state: TaskState;
-  /** Only for exited tasks: done, stopped, error, full, in_use, no_such or something newer. */
+  /** Only for exited tasks: done, stopped, error, full, in_use, no_such or a value added later. */
   why: string;
 }
 
@@ -47,7 +47,7 @@
   try: attempt,
 });
 
-const STATES: Record<string, TaskState> = {
+const STATE_BY_STATUS: Record<string, TaskState> = {
   pulling: "fetching",
   running: "running",
   waiting: "running",
@@ -61,25 +61,25 @@
 const isName = (value: unknown): value is string =>
   typeof value === "string" && value.length > 0 && value.length <= 200;
 
-/** Written by hand rather than with a schema: reports are by far the most frequent request. */
+/** Parsed by hand instead of with a schema: reports are by far the most frequent request. */
 export function parseReport(body: unknown): Parsed<Report> {
-  const bad = (field: string): Parsed<Report> => ({ ok: false, reason: `${field}: invalid` });
+  const invalid = (field: string): Parsed<Report> => ({ ok: false, reason: `${field}: invalid` });
   if (!isMap(body)) return { ok: false, reason: "the body is not a map" };
-  if (!isName(body.host)) return bad("host");
-  if (!isName(body.build)) return bad("build");
-  if (!isName(body.berth)) return bad("berth");
-  if (!isCount(body.shift)) return bad("shift");
-  if (!isCount(body.tally)) return bad("tally");
-  if (!isCount(body.baton)) return bad("baton");
+  if (!isName(body.host)) return invalid("host");
+  if (!isName(body.build)) return invalid("build");
+  if (!isName(body.berth)) return invalid("berth");
+  if (!isCount(body.shift)) return invalid("shift");
+  if (!isCount(body.tally)) return invalid("tally");
+  if (!isCount(body.baton)) return invalid("baton");
   const notice = body.warningS ?? null;
-  if (notice !== null && typeof notice !== "number") return bad("warningS");
-  const listed = body.pieces ?? [];
-  if (!Array.isArray(listed)) return bad("pieces");
+  if (notice !== null && typeof notice !== "number") return invalid("warningS");
+  const pieces = body.pieces ?? [];
+  if (!Array.isArray(pieces)) return invalid("pieces");
   const tasks: ReportedTask[] = [];
-  for (const item of listed) {
-    if (!isMap(item) || !isName(item.piece) || !isCount(item.try)) return bad("pieces");
-    const state = STATES[String(item.status)];
-    // A state this version does not know still occupies the machine.
+  for (const item of pieces) {
+    if (!isMap(item) || !isName(item.piece) || !isCount(item.try)) return invalid("pieces");
+    const state = STATE_BY_STATUS[String(item.status)];
+    // A task in a state unknown to this version still uses the machine, so it counts as running.
     tasks.push({
       task: item.piece,
       attempt: Number(item.try),
@@ -108,9 +108,9 @@
   baton: token,
   orders: commands,
 });
-/** Most answers carry no commands: all of these are the same. */
+/** Most answers carry no commands and are identical, so this one is encoded once. */
 export const emptyAnswer = (token: number): Buffer => encode(reportAnswer(token, []));
-/** Straight to a worker: only ever stops, which do no harm when they arrive late. */
+/** Path of requests to a worker. Only stop commands are sent there: harmless if they arrive late. */
 export const ordersPath = "/orders";
 export const ordersBody = (token: number, session: number, commands: Command[]): object => ({
   baton: token,
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -5,7 +5,7 @@
 import { JobClient, RequestRefused, Unanswered } from "../src/client/client.js";
 import { systemClock } from "../src/clock.js";
 import { type Answer, HttpClient, NoAnswer } from "../src/http/client.js";
-import { BODY_LIMIT, type Router, retryLater, startServer } from "../src/http/server.js";
+import { MAX_BODY_BYTES, type Router, retryLater, startServer } from "../src/http/server.js";
 import { Mesh } from "../src/peer/mesh.js";
 import { FakeClock } from "./support/clock.js";
 import { quiet } from "./support/common.js";
@@ -65,7 +65,7 @@
   },
   {
     name: "a body over the limit, announced",
-    bytes: post("/echo", Buffer.alloc(BODY_LIMIT + 1)),
+    bytes: post("/echo", Buffer.alloc(MAX_BODY_BYTES + 1)),
     status: 413,
   },
   {
--- a/test/support/store.ts
+++ b/test/support/store.ts
@@ -4,10 +4,10 @@
 import { StateService as FakeState, Malformed } from "../../src/local/state.js";
 import { RateLimiter } from "../../src/state/rate-limiter.js";
 import {
+  assertWritable,
   type Change,
   type Condition,
   type Event,
-  mustPass,
   NoLease,
   type Page,
   Refused,
@@ -108,7 +108,7 @@
   }
 
   async transact(when: Condition[], then: Change[]): Promise<TxnResult> {
-    mustPass(this.writable, then);
+    assertWritable(this.writable, then);
     if (this.random.chance(this.loss)) {
       const late = this.random.int(0, 1) * this.random.int(0, 20_000);
       const sent = copy({ when, then });
