--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -34,8 +34,8 @@
   (server as unknown as { closeAllConnections(): void }).closeAllConnections();
 });
 
-/** Sends bytes as they are and reads until the other side closes. */
-function raw(bytes: Buffer | string): Promise<string> {
+/** Sends raw bytes and reads until the server closes the connection. */
+function exchangeRaw(bytes: Buffer | string): Promise<string> {
   return new Promise((resolve, reject) => {
     const socket = connect(port, "127.0.0.1", () => socket.write(bytes));
     let text = "";
@@ -55,21 +55,21 @@
     body,
   ]);
 const requests = [
-  { name: "one value in CBOR", bytes: post("/echo", Buffer.from([0xa0])), status: 200 },
+  { name: "a valid CBOR body", bytes: post("/echo", Buffer.from([0xa0])), status: 200 },
   { name: "a body that is not CBOR", bytes: post("/echo", Buffer.from("{]")), status: 400 },
   { name: "an unknown path", bytes: post("/other", Buffer.from([0xa0])), status: 404 },
   {
-    name: "another method",
+    name: "a method the path does not have",
     bytes: "GET /echo HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n",
     status: 405,
   },
   {
-    name: "a body over the limit, announced",
+    name: "a body over the limit by its content length",
     bytes: post("/echo", Buffer.alloc(MAX_BODY_BYTES + 1)),
     status: 413,
   },
   {
-    name: "a body over the limit, in chunks",
+    name: "a chunked body over the limit",
     bytes: Buffer.concat([
       Buffer.from("POST /echo HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n11000\r\n"),
       Buffer.alloc(0x11000),
@@ -82,44 +82,44 @@
     bytes: "GET /fails HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n",
     status: 503,
   },
-  { name: "no HTTP at all", bytes: "rubbish\r\n\r\n", status: 400 },
+  { name: "bytes that are not HTTP", bytes: "rubbish\r\n\r\n", status: 400 },
 ];
 for (const { name, bytes, status } of requests) {
   test(`http server: ${name}: ${status}`, async () => {
-    assert.match(await raw(bytes), new RegExp(`^HTTP/1.1 ${status} `));
+    assert.match(await exchangeRaw(bytes), new RegExp(`^HTTP/1.1 ${status} `));
   });
 }
 
-test("http server: what cannot be taken is answered at once, saying when to come back", () => {
+test("http server: a refused request gets a Retry-After header", () => {
   assert.deepEqual(retryLater(429, "busy", 2).headers, { "retry-after": "2" });
 });
 
-const rubbish = [
-  { name: "closes at once", bytes: null },
-  { name: "sends no HTTP", bytes: "rubbish\r\n\r\n" },
-  { name: "sends half a message", bytes: "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc" },
+const invalidServers = [
+  { name: "closes the connection at once", bytes: null },
+  { name: "sends bytes that are not HTTP", bytes: "rubbish\r\n\r\n" },
+  { name: "sends a truncated message", bytes: "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc" },
   {
     name: "sends a body that is not CBOR",
     bytes: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{]",
   },
 ];
-for (const { name, bytes } of rubbish) {
-  test(`http client: a service that ${name} is no answer`, async () => {
-    const other = createServer((socket) => {
+for (const { name, bytes } of invalidServers) {
+  test(`http client: a server that ${name} gives NoAnswer`, async () => {
+    const invalidServer = createServer((socket) => {
       socket.on("error", () => undefined);
       if (bytes === null) socket.destroy();
       else socket.end(bytes);
     });
-    await new Promise<void>((resolve) => other.listen(0, "127.0.0.1", resolve));
-    const client = new HttpClient(`127.0.0.1:${(other.address() as AddressInfo).port}`, 1);
+    await new Promise<void>((resolve) => invalidServer.listen(0, "127.0.0.1", resolve));
+    const client = new HttpClient(`127.0.0.1:${(invalidServer.address() as AddressInfo).port}`, 1);
     await assert.rejects(client.call("GET", "/", undefined, 5000), NoAnswer);
     client.close();
-    other.close();
+    invalidServer.close();
   });
 }
 
-test("peers: rubbish ends the connection and nothing else", async () => {
-  const heard: unknown[] = [];
+test("peers: invalid bytes close the connection and have no other effect", async () => {
+  const frames: unknown[] = [];
   const mesh = new Mesh(
     "n0",
     "127.0.0.1:0",
@@ -127,7 +127,7 @@
     systemClock,
     quiet,
     50,
-    (f) => heard.push(f),
+    (frame) => frames.push(frame),
   );
   await mesh.start();
   for (const bytes of ["GET / HTTP/1.1\r\n\r\n", Buffer.from([0, 0, 0, 1, 2]), Buffer.alloc(64)]) {
@@ -137,12 +137,12 @@
       socket.on("close", () => resolve());
     });
   }
-  assert.deepEqual(heard, []);
+  assert.deepEqual(frames, []);
   mesh.stop();
 });
 
 const view = { uid: "wk-1", status: "pending" };
-const talks: {
+const exchanges: {
   name: string;
   answers: (Answer | null)[];
   ends: "view" | "refused" | "unanswered";
@@ -150,13 +150,13 @@
 }[] = [
   { name: "accepted", answers: [{ status: 201, body: view }], ends: "view", afterS: 0 },
   {
-    name: "no answer, then known",
+    name: "no answer, then accepted by a retry",
     answers: [null, { status: 200, body: view }],
     ends: "view",
     afterS: 1,
   },
   {
-    name: "told when to come back",
+    name: "retry after the given time",
     answers: [
       { status: 429, body: {}, retryAfterS: 7 },
       { status: 200, body: view },
@@ -165,7 +165,7 @@
     afterS: 7,
   },
   {
-    name: "told to come back much later than is allowed",
+    name: "retry time longer than allowed",
     answers: [
       { status: 503, body: {}, retryAfterS: 300 },
       { status: 200, body: view },
@@ -174,14 +174,14 @@
     afterS: 30,
   },
   {
-    name: "can never run",
+    name: "a job that can never run",
     answers: [{ status: 422, body: { error: "too big" } }],
     ends: "refused",
     afterS: 0,
   },
   {
-    // PROTOCOL: any other status is tried again, though it begins with a 4.
-    name: "other statuses, then taken",
+    // PROTOCOL: any other status is retried, also one that begins with 4.
+    name: "retried statuses, then accepted",
     answers: [
       { status: 408, body: undefined },
       { status: 409, body: undefined },
@@ -192,23 +192,23 @@
   },
   { name: "never answered", answers: [], ends: "unanswered", afterS: 60 },
 ];
-for (const { name, answers, ends, afterS } of talks) {
+for (const { name, answers, ends, afterS } of exchanges) {
   test(`client: ${name}`, async () => {
     const clock = new FakeClock();
-    const left = [...answers];
+    const remaining = [...answers];
     const client = new JobClient("", clock, {
       call: async () => {
-        const next = left.shift() ?? null;
+        const next = remaining.shift() ?? null;
         if (next === null) throw new NoAnswer("nothing");
         return next;
       },
     });
     let end = "";
-    let at = 0;
+    let endedAt = 0;
     client.submit({}).then(
       () => {
         end = "view";
-        at = clock.now();
+        endedAt = clock.now();
       },
       (error) => {
         end =
@@ -217,11 +217,11 @@
             : error instanceof Unanswered
               ? "unanswered"
               : "?";
-        at = clock.now();
+        endedAt = clock.now();
       },
     );
     await clock.run(100_000);
     assert.equal(end, ends);
-    assert.equal(at, afterS * 1000);
+    assert.equal(endedAt, afterS * 1000);
   });
 }
--- a/test/writable.test.ts
+++ b/test/record-validator.test.ts
@@ -33,16 +33,23 @@
   seq: 1,
 };
 
-const cases: { key: string; good: unknown; bad: unknown[] }[] = [
+const cases: { key: string; valid: unknown; invalid: unknown[] }[] = [
   {
     key: "w/q/red",
-    good: { 0: [1, 0], 1: null },
-    bad: [{ 0: [Number.NaN, 0] }, { 0: [null, 0] }, { 0: [-1, 0] }, { x: [1, 0] }, [1], "slices"],
+    valid: { 0: [1, 0], 1: null },
+    invalid: [
+      { 0: [Number.NaN, 0] },
+      { 0: [null, 0] },
+      { 0: [-1, 0] },
+      { x: [1, 0] },
+      [1],
+      "slices",
+    ],
   },
   {
     key: "w/j/wk-000001",
-    good: header,
-    bad: [
+    valid: header,
+    invalid: [
       { ...header, owners: "0" },
       { ...header, at: Number.NaN },
       { ...header, spec: undefined },
@@ -52,44 +59,52 @@
   },
   {
     key: "c/0/p/3",
-    good: { m: ["a"], c: { "wk-000001/0": [1, "0-1", "2.1.0"] } },
-    bad: [
+    valid: { m: ["a"], c: { "wk-000001/0": [1, "0-1", "2.1.0"] } },
+    invalid: [
       { m: ["a"], c: { "wk-000001/0": [Number.NaN, "", ""] } },
       { m: [], c: { "wk-000001/0": [1, "", "2.1.0"] } },
       { m: ["a"], c: { "wk-000001/0": [1, "NaN", ""] } },
       { c: {} },
     ],
   },
-  { key: "c/0/m/wk-000001/0", good: { m: [], c: { "wk-000001/0": [1, "0", ""] } }, bad: ["x"] },
-  { key: "c/2/fence", good: "17.4", bad: [17.4, "NaN.1", ""] },
+  {
+    key: "c/0/m/wk-000001/0",
+    valid: { m: [], c: { "wk-000001/0": [1, "0", ""] } },
+    invalid: ["x"],
+  },
+  { key: "c/2/fence", valid: "17.4", invalid: [17.4, "NaN.1", ""] },
   {
     key: "w/s/0",
-    good: summary,
-    bad: [
+    valid: summary,
+    invalid: [
       { ...summary, waiting: Number.NaN },
       { ...summary, use: { red: [Number.NaN, 0] } },
       { ...summary, demand: [{ team: "red", rank: 0, gpus: 0 }] },
       { ...summary, idle: { m: Number.NEGATIVE_INFINITY } },
     ],
   },
-  { key: "w/p/1", good: { node: "n", run: "r" }, bad: [{ node: "n" }, null] },
-  { key: "w/g/1-1", good: ["m"], bad: [[undefined], ["m", 4]] },
-  { key: "w/types", good: [], bad: [{}, [{ cpus: Number.NaN }]] },
-  { key: "anything", good: { a: [1, "x", null] }, bad: [{ a: () => 1 }, 1n, { a: [Number.NaN] }] },
+  { key: "w/p/1", valid: { node: "n", run: "r" }, invalid: [{ node: "n" }, null] },
+  { key: "w/g/1-1", valid: ["m"], invalid: [[undefined], ["m", 4]] },
+  { key: "w/types", valid: [], invalid: [{}, [{ cpus: Number.NaN }]] },
+  {
+    key: "anything",
+    valid: { a: [1, "x", null] },
+    invalid: [{ a: () => 1 }, 1n, { a: [Number.NaN] }],
+  },
 ];
-for (const { key, good, bad } of cases) {
-  test(`records: what is written to ${key} is what its reader takes`, () => {
-    const told: string[] = [];
-    const writable = coreRecordValidator((refused) => told.push(refused));
-    assert.equal(writable.fault(key, good), null);
-    for (const value of bad) assert.notEqual(writable.fault(key, value), null, String(value));
-    assert.deepEqual(told, [key], "told once, however often it is tried");
+for (const { key, valid, invalid } of cases) {
+  test(`record validator: accepts for ${key} only what its reader accepts`, () => {
+    const reported: string[] = [];
+    const validator = coreRecordValidator((invalidKey) => reported.push(invalidKey));
+    assert.equal(validator.fault(key, valid), null);
+    for (const value of invalid) assert.notEqual(validator.fault(key, value), null, String(value));
+    assert.deepEqual(reported, [key], "reported once, not for every invalid value");
   });
 }
 
-test("records: a summary that is heard with something else than numbers is none", () => {
+test("record validator: a received summary with values that are not numbers is rejected", () => {
   assert.ok(isSummary(summary));
-  for (const bad of [
+  for (const invalid of [
     { ...summary, waiting: Number.NaN },
     { ...summary, workS: null },
     { ...summary, use: { red: [Number.NaN, 0] } },
@@ -97,11 +112,11 @@
     { ...summary, demand: [{ team: "red", rank: 0, cpus: Number.NaN, gpus: 0 }] },
     { ...summary, kinds: [{ ...summary.kinds[0], free: null }] },
   ]) {
-    assert.ok(!isSummary(bad), JSON.stringify(bad));
+    assert.ok(!isSummary(invalid), JSON.stringify(invalid));
   }
 });
 
-test("records: the store's client sends no transaction with one that would be refused", async () => {
+test("record validator: the store client sends no transaction with an invalid record", async () => {
   const sent: unknown[] = [];
   const http = { call: async (...args: unknown[]) => sent.push(args) } as unknown as HttpClient;
   const store = new StoreClient(http, LIMITS, new FakeClock(), 1000, coreRecordValidator());
--- a/test/support/store.ts
+++ b/test/support/store.ts
@@ -24,24 +24,24 @@
 export { FakeState };
 
 const copy = <T>(value: T): T => structuredClone(value);
-/** One controller's connection to the state service, with the faults that it may have. */
+/** One controller's connection to the state service, with faults that tests can switch on. */
 export class FakeStore implements Store {
   readonly writes: RateLimiter;
   writable = coreRecordValidator((key, why) => {
     throw new Error(`${key}: ${why}`);
   });
-  /** Nothing comes back, though what was sent may be applied, at once or late. */
+  /** No answers arrive; a request already sent may still be applied. */
   cut = false;
-  /** 503 for this controller alone. */
+  /** The service answers 503 to this controller only. */
   refused = false;
-  /** The share of transactions whose answer is lost, half of them applied late. */
+  /** Share of transactions whose answer is lost: half are applied at once, half up to 20 s late. */
   loss = 0;
-  /** The share of transactions that are carried out at once, and only their answer is lost. */
+  /** Share of transactions that are applied normally and only lose their answer. */
   unheard = 0;
-  /** Planted faults: see `Sabotage`. */
+  /** Deliberate faults; see `Sabotage`. */
   emptyWatches = false;
   staleReads = false;
-  /** What the service found fault with: 400. */
+  /** Messages of transactions that the service rejected as invalid (400). */
   readonly rejected: string[] = [];
 
   constructor(
@@ -50,13 +50,13 @@
     readonly random: Random,
     public limits: StoreLimits,
     readonly timeoutMs: number,
-    /** What is on its way goes on while the controller stands still. */
+    /** Clock of requests in flight: it goes on while the controller's process is paused. */
     readonly way: Clock = clock,
   ) {
     this.writes = new RateLimiter(limits.writeRps, limits.writeRps, clock);
   }
 
-  /** How much longer every answer takes, at most, milliseconds. */
+  /** Largest random extra delay of an answer, milliseconds. */
   slowMs = 0;
 
   divide(): void {}
@@ -86,13 +86,13 @@
 
   async list(prefix: string): Promise<{ rows: Row[]; revision: number }> {
     const rows: Row[] = [];
-    let first = Number.POSITIVE_INFINITY;
+    let oldestRevision = Number.POSITIVE_INFINITY;
     for (let after: string | null = null; ; ) {
       const page: Page = await this.page(prefix, after, 1000);
-      first = Math.min(first, page.revision);
+      oldestRevision = Math.min(oldestRevision, page.revision);
       rows.push(...page.rows);
       after = page.rows.at(-1)?.key ?? null;
-      if (!page.more || after === null) return { rows, revision: first };
+      if (!page.more || after === null) return { rows, revision: oldestRevision };
     }
   }
 
@@ -110,9 +110,9 @@
   async transact(when: Condition[], then: Change[]): Promise<TxnResult> {
     assertWritable(this.writable, then);
     if (this.random.chance(this.loss)) {
-      const late = this.random.int(0, 1) * this.random.int(0, 20_000);
+      const delayMs = this.random.int(0, 1) * this.random.int(0, 20_000);
       const sent = copy({ when, then });
-      this.clock.after(late, () => {
+      this.clock.after(delayMs, () => {
         if (this.state.outage) return;
         try {
           this.state.transact(sent.when, sent.then);
@@ -123,7 +123,7 @@
       await sleep(this.clock, this.timeoutMs);
       throw new NoAnswer("answer lost");
     }
-    const heard = this.unheard === 0 || !this.random.chance(this.unheard);
+    const answered = this.unheard === 0 || !this.random.chance(this.unheard);
     const result = await this.#exchange(() => {
       try {
         return this.state.transact(when, then);
@@ -133,7 +133,7 @@
         throw new Rejected(error.message);
       }
     });
-    if (heard) return result;
+    if (answered) return result;
     await sleep(this.clock, this.timeoutMs);
     throw new NoAnswer("answer lost");
   }
@@ -156,10 +156,10 @@
       return { revision: after, events: [] };
     }
     if (this.staleReads && waitMs === 0) return { revision: after, events: [] };
-    const seen = await this.#exchange(() => this.state.changes(prefix, after));
-    if (seen === null) return null;
-    if (seen.length === 0) await this.state.changed(prefix, waitMs);
-    // Open watches remain open through an outage.
+    const changes = await this.#exchange(() => this.state.changes(prefix, after));
+    if (changes === null) return null;
+    if (changes.length === 0) await this.state.changed(prefix, waitMs);
+    // A watch that is already open stays open during an outage.
     while (this.state.outage || this.refused) await sleep(this.clock, 100);
     return this.#exchange(() => {
       const events = this.state.changes(prefix, after);
@@ -168,7 +168,7 @@
   }
 }
 
-/** A state service with one connection to it. */
+/** A simulated state service with one connection to it. */
 export function service(seed = 1, limits: StoreLimits = LIMITS) {
   const clock = new FakeClock();
   const state = new FakeState(clock, limits);
--- a/test/witnessed.test.ts
+++ b/test/watched-transaction.test.ts
@@ -9,26 +9,36 @@
 
 const KEY = "w/x/1";
 const VALUE = { status: "open", spec: undefined, at: 5 };
-// What becomes of a transaction whose answer never comes, and what others write meanwhile.
-const cases: { name: string; applied: boolean; others?: unknown; lag?: boolean; known: boolean }[] =
-  [
-    { name: "carried out at once", applied: true, known: true },
-    { name: "never carried out", applied: false, known: false },
-    {
-      name: "somebody writes something else there",
-      applied: false,
-      others: { at: 6 },
-      known: false,
-    },
-    { name: "news of the same from before comes late", applied: false, lag: true, known: false },
-  ];
-for (const { name, applied, others, lag = false, known } of cases) {
-  test(`an answer is lost, ${name}: ${known ? "known by the watch" : "not known"}`, async () => {
+// The answer to a transaction is lost: whether it was applied, and what others write meanwhile.
+const cases: {
+  name: string;
+  applied: boolean;
+  otherValue?: unknown;
+  lag?: boolean;
+  confirmed: boolean;
+}[] = [
+  { name: "transaction applied at once", applied: true, confirmed: true },
+  { name: "transaction never applied", applied: false, confirmed: false },
+  {
+    name: "another value is written to the key",
+    applied: false,
+    otherValue: { at: 6 },
+    confirmed: false,
+  },
+  {
+    name: "an earlier write of the same value is seen late",
+    applied: false,
+    lag: true,
+    confirmed: false,
+  },
+];
+for (const { name, applied, otherValue, lag = false, confirmed } of cases) {
+  test(`watched transaction: answer lost, ${name}: ${confirmed ? "confirmed by watch" : "not confirmed"}`, async () => {
     const { clock, state, store } = service();
     const mirror = new Mirror(store, clock, quiet, 1000);
     void mirror.run();
     await clock.run(100);
-    // What is there already is no sign of this transaction.
+    // A value that was there before does not confirm this transaction.
     if (lag) state.transact([], [{ put: KEY, value: VALUE }]);
     const version = state.rows.get(KEY)?.version ?? 0;
     if (applied) store.unheard = 1;
@@ -41,29 +51,29 @@
     const when = [{ key: KEY, version }];
     let result: unknown = null;
     transactConfirmedByWatch(store, mirror, KEY, when, [{ put: KEY, value: VALUE }]).then(
-      (found) => {
-        result = found;
+      (committed) => {
+        result = committed;
       },
       () => {
         result = "no answer";
       },
     );
     await clock.run(20);
-    if (others !== undefined) state.transact([], [{ put: KEY, value: others }]);
+    if (otherValue !== undefined) state.transact([], [{ put: KEY, value: otherValue }]);
     await clock.run(100);
-    assert.deepEqual(result, known ? { ok: true, revision: state.revision } : null);
+    assert.deepEqual(result, confirmed ? { ok: true, revision: state.revision } : null);
     await clock.run(5000);
-    if (!known) assert.equal(result, "no answer");
+    if (!confirmed) assert.equal(result, "no answer");
     mirror.stop();
   });
 }
 
-test("what is told and what is seen say the same, and nobody waits afterwards", async () => {
+test("watched transaction: answer and watch agree, for a commit and for a failed condition", async () => {
   const { clock, state, store } = service();
   const mirror = new Mirror(store, clock, quiet, 1000);
   void mirror.run();
   await clock.run(100);
-  const once = () =>
+  const transactOnce = () =>
     clock.within(
       transactConfirmedByWatch(
         store,
@@ -73,8 +83,8 @@
         [{ put: KEY, value: VALUE }],
       ),
     );
-  assert.deepEqual(await once(), { ok: true, revision: state.revision });
-  // Refused by its condition: what is there is not what this one wrote.
-  assert.deepEqual(await once(), { ok: false, failed: [KEY], revision: state.revision });
+  assert.deepEqual(await transactOnce(), { ok: true, revision: state.revision });
+  // Fails by its condition, though the key has the same value: this call did not write it.
+  assert.deepEqual(await transactOnce(), { ok: false, failed: [KEY], revision: state.revision });
   mirror.stop();
 });
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -36,9 +36,9 @@
   dueS: 900.0,
 };
 
-test("cbor: integers reach 2^64 without losing digits", () => {
-  const most = 2n ** 64n - 1n;
-  assert.deepEqual(decode(encode({ baton: most })), { baton: most });
+test("cbor: integers below 2^64 are exact", () => {
+  const largest = 2n ** 64n - 1n;
+  assert.deepEqual(decode(encode({ baton: largest })), { baton: largest });
   assert.deepEqual(decode(encode({ a: 1, b: 2.5, c: null, d: [true, "x"] })), {
     a: 1,
     b: 2.5,
@@ -47,50 +47,50 @@
   });
 });
 
-const rubbish = [
+const invalidCbor = [
   { name: "nothing", bytes: [] },
-  { name: "half a map", bytes: [0xa2, 0x61, 0x61, 0x01] },
+  { name: "a truncated map", bytes: [0xa2, 0x61, 0x61, 0x01] },
   { name: "text that is not CBOR", bytes: [...Buffer.from('{"uid":1}')] },
   { name: "two values", bytes: [0x01, 0x02] },
   { name: "a text longer than the body", bytes: [0x7a, 0x7f, 0xff, 0xff, 0xff, 0x61] },
 ];
-for (const { name, bytes } of rubbish) {
+for (const { name, bytes } of invalidCbor) {
   test(`cbor: refuses ${name}`, () => {
     assert.throws(() => decode(Buffer.from(bytes)));
   });
 }
 
-test("submission: the example of the protocol, and unknown fields", () => {
+test("submission: parses the example of the protocol, and ignores unknown fields", () => {
   const parsed = parseSubmission({ ...job, colour: "blue" });
   assert.ok(parsed.ok);
   assert.equal(parsed.value.id, "wk-000412");
   assert.equal(parsed.value.spec.rank, 2);
   const { berth: _zone, dueS: _due, builds: _types, ...rest } = job;
-  const short = parseSubmission(rest);
-  assert.ok(short.ok, "what may be null may be omitted");
-  assert.equal(short.value.spec.deadlineS, null);
+  const withoutNullable = parseSubmission(rest);
+  assert.ok(withoutNullable.ok, "fields that may be null may be omitted");
+  assert.equal(withoutNullable.value.spec.deadlineS, null);
 });
 
-const badJobs: { name: string; body: unknown }[] = [
+const invalidJobs: { name: string; body: unknown }[] = [
   { name: "not a map", body: [job] },
   { name: "null", body: null },
   { name: "no id", body: { ...job, uid: undefined } },
-  { name: "an id of another form", body: { ...job, uid: "job-1" } },
+  { name: "an id with another prefix", body: { ...job, uid: "job-1" } },
   { name: "an id with a slash", body: { ...job, uid: "wk-1/2" } },
   { name: "an unknown shape", body: { ...job, shape: "swarm" } },
   { name: "an unknown urgency", body: { ...job, urgency: "now" } },
   { name: "no tasks", body: { ...job, pieces: 0 } },
-  { name: "half a task", body: { ...job, pieces: 1.5 } },
+  { name: "a fractional number of tasks", body: { ...job, pieces: 1.5 } },
   { name: "too many tasks", body: { ...job, pieces: 100_001 } },
-  { name: "a number as text", body: { ...job, cores: "8" } },
+  { name: "a number of CPUs as text", body: { ...job, cores: "8" } },
   { name: "negative CPUs", body: { ...job, cores: -1 } },
-  { name: "endless memory", body: { ...job, memGb: Number.POSITIVE_INFINITY } },
-  { name: "not a number", body: { ...job, expectS: Number.NaN } },
-  { name: "types that are no list", body: { ...job, builds: "g8" } },
+  { name: "infinite memory", body: { ...job, memGb: Number.POSITIVE_INFINITY } },
+  { name: "NaN as the estimate", body: { ...job, expectS: Number.NaN } },
+  { name: "machine types that are not a list", body: { ...job, builds: "g8" } },
   { name: "a flag as a number", body: { ...job, borrowed: 1 } },
   { name: "no team", body: { ...job, owner: null } },
 ];
-for (const { name, body } of badJobs) {
+for (const { name, body } of invalidJobs) {
   test(`submission: refuses ${name}`, () => {
     const parsed = parseSubmission(body);
     assert.equal(parsed.ok, false);
@@ -114,18 +114,18 @@
   { name: "the example of the protocol", body: report, ok: true },
   { name: "no tasks at all", body: { ...report, pieces: null }, ok: true },
   {
-    name: "a task state of the future",
+    name: "an unknown task state",
     body: { ...report, pieces: [{ piece: "wk-1/1", try: 1, status: "dreaming" }] },
     ok: true,
   },
   { name: "no machine", body: { ...report, host: undefined }, ok: false },
   { name: "a negative token", body: { ...report, baton: -1 }, ok: false },
-  { name: "tasks that are no list", body: { ...report, pieces: {} }, ok: false },
+  { name: "tasks that are not a list", body: { ...report, pieces: {} }, ok: false },
   { name: "a task without attempt", body: { ...report, pieces: [{ piece: "wk-1/1" }] }, ok: false },
   { name: "rubbish", body: "report", ok: false },
 ];
 for (const { name, body, ok } of reports) {
-  test(`report: ${name}: ${ok ? "taken" : "refused"}`, () => {
+  test(`report: ${name}: ${ok ? "accepted" : "refused"}`, () => {
     assert.equal(parseReport(body).ok, ok);
   });
 }
@@ -148,43 +148,43 @@
   seq: 3,
 };
 
-const withRooms: Summary = {
+const withFreeCapacity: Summary = {
   ...summary,
   starved: 12,
   rooms: [{ zone: "a", cpus: 2.5, gpus: 0, memGb: 8, count: 3 }],
 };
 
-test("frames: what is sent arrives, in whatever pieces", () => {
+test("frames: decoded as sent, whatever the chunks received", () => {
   const frames = [
     { kind: "hello" as const, version: 1, node: "kombos-1" },
     { kind: "cancelled" as const, job: "wk-000412", version: 2 ** 41 },
     { kind: "summary" as const, part: 2, summary },
-    // Without these, leaders heard of free room only from the store, and sold by old figures.
-    { kind: "summary" as const, part: 3, summary: withRooms },
+    // Without `rooms` in frames, leaders got free capacity only from the store, and sold it by old figures.
+    { kind: "summary" as const, part: 3, summary: withFreeCapacity },
   ];
   const bytes = Buffer.concat(frames.map(encodeFrame));
   for (const step of [1, 7, bytes.length]) {
     const cutter = new FrameCutter();
-    const got: unknown[] = [];
+    const received: unknown[] = [];
     for (let at = 0; at < bytes.length; at += step) {
       for (const payload of cutter.push(bytes.subarray(at, at + step))) {
-        got.push(decodeFrame(payload));
+        received.push(decodeFrame(payload));
       }
     }
-    assert.deepEqual(got, frames);
+    assert.deepEqual(received, frames);
   }
 });
 
-const badFrames = [
+const invalidFrames = [
   { name: "a length of zero", bytes: Buffer.from([0, 0, 0, 0]) },
-  { name: "an enormous length", bytes: Buffer.from([0xff, 0xff, 0xff, 0xff]) },
-  { name: "half a greeting", bytes: Buffer.from([0, 0, 0, 2, 1, 0]) },
+  { name: "a length over the limit", bytes: Buffer.from([0xff, 0xff, 0xff, 0xff]) },
+  { name: "a truncated hello", bytes: Buffer.from([0, 0, 0, 2, 1, 0]) },
   {
     name: "a list longer than the frame",
     bytes: Buffer.from("0000000802000000000000000000", "hex"),
   },
 ];
-for (const { name, bytes } of badFrames) {
+for (const { name, bytes } of invalidFrames) {
   test(`frames: refuses ${name}`, () => {
     assert.throws(() => {
       for (const payload of new FrameCutter().push(bytes)) decodeFrame(payload);
@@ -192,15 +192,22 @@
   });
 }
 
-test("frames: cut short anywhere, a summary is refused and never read as another", () => {
-  const whole = encodeFrame({ kind: "summary", part: 0, summary: withRooms }).subarray(4);
-  for (const sent of [whole, encodeFrame({ kind: "summary", part: 0, summary }).subarray(4)]) {
-    for (let size = 0; size < sent.length; size++) {
-      assert.throws(() => decodeFrame(sent.subarray(0, size)), FrameError);
+test("frames: a summary truncated at any byte is refused", () => {
+  const complete = encodeFrame({ kind: "summary", part: 0, summary: withFreeCapacity }).subarray(4);
+  for (const payload of [
+    complete,
+    encodeFrame({ kind: "summary", part: 0, summary }).subarray(4),
+  ]) {
+    for (let size = 0; size < payload.length; size++) {
+      assert.throws(() => decodeFrame(payload.subarray(0, size)), FrameError);
     }
   }
-  assert.equal(decodeFrame(Buffer.from([200, 1, 2])), null, "a kind of a newer version");
-  assert.ok(whole.length < MAX_FRAME);
+  assert.equal(
+    decodeFrame(Buffer.from([200, 1, 2])),
+    null,
+    "a kind that only a newer version knows",
+  );
+  assert.ok(complete.length < MAX_FRAME);
 });
 
 const settings = `
@@ -220,26 +227,40 @@
 cloud = { rps = 1.0, list_lag_s = 1.0 }
 quota = { cores = 1.0, ram_mb = 100.0, max_sockets = 100 }
 `;
-test("settings: read, with unknown fields ignored", () => {
+test("settings: parsed, with unknown fields ignored", () => {
   assert.equal(parseSettings(settings, "f").node_name, "n0");
 });
-const badSettings = [
-  { name: "no TOML", text: "node_name = ", says: /^f:\d+: / },
-  { name: "a missing field", text: settings.replace('site = "a"', ""), says: /^f: site: / },
-  { name: "a wrong type", text: settings.replace("size = 1", 'size = "1"'), says: /params\.size/ },
-  { name: "no port", text: settings.replace("10.2.0.1:1", "10.2.0.1"), says: /services\.state/ },
+const invalidSettings = [
+  { name: "invalid TOML", text: "node_name = ", messagePattern: /^f:\d+: / },
+  {
+    name: "a missing field",
+    text: settings.replace('site = "a"', ""),
+    messagePattern: /^f: site: /,
+  },
+  {
+    name: "a wrong type",
+    text: settings.replace("size = 1", 'size = "1"'),
+    messagePattern: /params\.size/,
+  },
+  {
+    name: "an address without a port",
+    text: settings.replace("10.2.0.1:1", "10.2.0.1"),
+    messagePattern: /services\.state/,
+  },
   {
     name: "a lease longer than a cancellation",
     text: settings.replace("cancel_s = 36.0", "cancel_s = 10.0"),
-    says: /cancel_s/,
+    messagePattern: /cancel_s/,
   },
 ];
-for (const { name, text, says } of badSettings) {
-  test(`settings: refuses ${name} in one line`, () => {
+for (const { name, text, messagePattern } of invalidSettings) {
+  test(`settings: refuses ${name} with a one-line message`, () => {
     assert.throws(
       () => parseSettings(text, "f"),
       (error) =>
-        error instanceof SettingsError && says.test(error.message) && !/\n/.test(error.message),
+        error instanceof SettingsError &&
+        messagePattern.test(error.message) &&
+        !/\n/.test(error.message),
     );
   });
 }
