--- a/src/cloud/fleet.ts
+++ b/src/cloud/fleet.ts
@@ -8,9 +8,9 @@
 import { typesKey } from "../state/schema.js";
 import type { Condition, Store } from "../state/store.js";
 import * as wire from "../wire/cloud.js";
-import { Forgetting } from "./forgetting.js";
-import { type Offer, plan } from "./plan.js";
-import { cheapestOf, roomIn, Surplus } from "./surplus.js";
+import { type Offer, plan } from "./rental-plan.js";
+import { Forgetting } from "./returned-machine-cleanup.js";
+import { cheapestOf, roomIn, Surplus } from "./surplus-machines.js";
 
 export interface FleetContext {
   token: number;
--- a/src/suspicion/court.ts
+++ b/src/suspicion/accusations.ts
@@ -1,8 +1,8 @@
 import type { Core } from "../extension/index.js";
 import { parsePresence } from "../membership/presence.js";
 import { keys } from "../state/keys.js";
-import { type Case, type Cluster, type Ground, type Peer, verdict } from "./judge.js";
-import type { Sensed } from "./peers.js";
+import { type Case, type Cluster, type Ground, type Peer, verdict } from "./failure-decisions.js";
+import type { Sensed } from "./peer-state.js";
 import { type Accusation, parseAccusation } from "./records.js";
 import type { Timing } from "./settings.js";
 
--- a/src/suspicion/judge.ts
+++ b/src/suspicion/failure-decisions.ts
@@ -1,10 +1,10 @@
-import { ailing, fitToAccuse, type Own } from "./health.js";
+import { ailing, fitToAccuse, type Own } from "./local-health.js";
 import type { Timing } from "./settings.js";
 
 /**
  * What the controllers think of each other, as pure functions on plain data: the same for the
  * daemon, tests and simulation. Nothing here decides who owns what; that is a conditional write
- * (`court.ts`), and it breaks no rule whatever these functions say (`docs/design.md`).
+ * (`accusations.ts`), and it breaks no rule whatever these functions say (`docs/design.md`).
  */
 
 /** Another controller, as one sees it. */
--- a/src/suspicion/failure-detector.ts
+++ b/src/suspicion/failure-detector.ts
@@ -6,8 +6,7 @@
 import { keys } from "../state/keys.js";
 import { fencingTokenOf } from "../state/restore-state.js";
 import type { ReportPosition } from "../workers/report-classification.js";
-import { Court } from "./court.js";
-import { ailing, fitToAccuse, Lateness, type Own } from "./health.js";
+import { Court } from "./accusations.js";
 import {
   borneOut,
   type Cluster,
@@ -15,8 +14,9 @@
   patienceMs,
   straysMatter,
   suspicious,
-} from "./judge.js";
-import { Sensed } from "./peers.js";
+} from "./failure-decisions.js";
+import { ailing, fitToAccuse, Lateness, type Own } from "./local-health.js";
+import { Sensed } from "./peer-state.js";
 import type { Timing } from "./settings.js";
 
 /** A silence that is said of somebody who was never heard. */
--- a/src/suspicion/index.ts
+++ b/src/suspicion/index.ts
@@ -15,8 +15,6 @@
 import { parseAccusation } from "./records.js";
 import { readTiming, schema, type Timing } from "./settings.js";
 
-export { ailing, fitToAccuse, Lateness, type Own } from "./health.js";
-export { Intervals } from "./intervals.js";
 export {
   borneOut,
   type Case,
@@ -29,8 +27,10 @@
   suspicious,
   type Testimony,
   verdict,
-} from "./judge.js";
-export type { State } from "./peers.js";
+} from "./failure-decisions.js";
+export { Intervals } from "./frame-intervals.js";
+export { ailing, fitToAccuse, Lateness, type Own } from "./local-health.js";
+export type { State } from "./peer-state.js";
 export { type Accusation, parseAccusation } from "./records.js";
 export { readTiming, type Timing } from "./settings.js";
 
--- a/src/suspicion/peers.ts
+++ b/src/suspicion/peer-state.ts
@@ -1,6 +1,6 @@
 import { isNewerReport, type ReportPosition } from "../workers/report-classification.js";
-import { Intervals } from "./intervals.js";
-import type { Ground, Testimony } from "./judge.js";
+import type { Ground, Testimony } from "./failure-decisions.js";
+import { Intervals } from "./frame-intervals.js";
 import type { Timing } from "./settings.js";
 
 /** What a controller shows of another: its state with the reason, since when, and how often. */
--- a/test/market.test.ts
+++ b/test/market.test.ts
@@ -2,7 +2,7 @@
 import { createHash } from "node:crypto";
 import { test } from "node:test";
 import fc from "fast-check";
-import { plan } from "../src/cloud/plan.js";
+import { plan } from "../src/cloud/rental-plan.js";
 import { Accounts, charged, chargeOf } from "../src/market/accounts.js";
 import { type Hours, windowsIn } from "../src/market/calendar.js";
 import { type Asking, type ClearingInput, clear, sizeOf } from "../src/market/clearing.js";
--- a/test/submit.test.ts
+++ b/test/submit.test.ts
@@ -3,7 +3,7 @@
 import { join } from "node:path";
 import { test } from "node:test";
 import { Ad } from "../src/classad/index.js";
-import { plan } from "../src/cloud/plan.js";
+import { plan } from "../src/cloud/rental-plan.js";
 import type { JobHeader } from "../src/jobs/job-header.js";
 import type { KindCapacity, Summary } from "../src/part/summary.js";
 import { decodeFrame, encodeFrame } from "../src/peer/frames.js";
--- a/test/suspicion.test.ts
+++ b/test/suspicion.test.ts
@@ -24,7 +24,7 @@
   type Testimony,
   verdict,
 } from "../src/suspicion/index.js";
-import { Sensed } from "../src/suspicion/peers.js";
+import { Sensed } from "../src/suspicion/peer-state.js";
 import { PlacementConstraints } from "../src/workers/placement-constraints.js";
 import { FakeClock } from "./support/clock.js";
 import { quiet } from "./support/common.js";
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { beginArchive, behind, Lookups, Mover } from "../src/archive/index.js";
-import { Forgetting } from "../src/cloud/forgetting.js";
+import { Forgetting } from "../src/cloud/returned-machine-cleanup.js";
 import { OpenJobs } from "../src/controller/open-jobs.js";
 import type { Core, LeaderTerm } from "../src/extension/index.js";
 import { doneHeader, type JobHeader } from "../src/jobs/job-header.js";
