--- a/src/cloud/rental-plan.ts
+++ b/src/cloud/rental-plan.ts
@@ -8,36 +8,36 @@
   price: number;
 }
 
-export interface Wish {
+export interface RentalRequest {
   offer: Offer;
   count: number;
 }
 
-interface Bin {
+interface FreeMachine {
   cpus: number;
   gpus: number;
   memGb: number;
   type: string;
   zone: string;
   spot: boolean;
-  /** What it is a machine of. */
+  /** The offer that the machine is rented under. */
   offer: Offer;
 }
 
-/** Whether a machine would do for a job whose expressions say so. */
-export type Suits = (job: string, offer: Offer) => boolean;
+/** Whether a machine of an offer satisfies the expressions of a job. */
+export type JobMatchesOffer = (job: string, offer: Offer) => boolean;
 
-const fits = (bin: Bin, need: CapacityRequest, suits: Suits): boolean =>
-  bin.cpus >= need.cpus &&
-  bin.gpus >= need.gpus &&
-  bin.memGb >= need.memGb &&
-  (need.spot || !bin.spot) &&
-  (need.zone === null || need.zone === bin.zone) &&
+const fits = (machine: FreeMachine, need: CapacityRequest, matchesJob: JobMatchesOffer): boolean =>
+  machine.cpus >= need.cpus &&
+  machine.gpus >= need.gpus &&
+  machine.memGb >= need.memGb &&
+  (need.spot || !machine.spot) &&
+  (need.zone === null || need.zone === machine.zone) &&
   (need.job === undefined
-    ? need.types === null || need.types.includes(bin.type)
-    : suits(need.job, bin.offer));
+    ? need.types === null || need.types.includes(machine.type)
+    : matchesJob(need.job, machine.offer));
 
-const binOf = (offer: Offer): Bin => ({
+const emptyMachine = (offer: Offer): FreeMachine => ({
   cpus: offer.type.cpus,
   gpus: offer.type.gpus,
   memGb: offer.type.memGb,
@@ -47,13 +47,13 @@
   offer,
 });
 
-const take = (bin: Bin, need: CapacityRequest): void => {
-  bin.cpus -= need.cpus;
-  bin.gpus -= need.gpus;
-  bin.memGb -= need.memGb;
+const reserve = (machine: FreeMachine, need: CapacityRequest): void => {
+  machine.cpus -= need.cpus;
+  machine.gpus -= need.gpus;
+  machine.memGb -= need.memGb;
 };
 
-const covered = ({ price, type }: Offer, { most }: CapacityRequest): boolean =>
+const withinPrice = ({ price, type }: Offer, { most }: CapacityRequest): boolean =>
   most === undefined || price <= most * type.cpus;
 
 const tasksPer = (type: MachineType, need: CapacityRequest): number =>
@@ -67,10 +67,10 @@
   );
 
 /**
- * What to rent so that the waiting tasks, beyond those that machines already booting will take,
- * find room: for each shape the offer that is cheapest per task. Of one offer no more than `most`,
- * which is what one request may ask for: the next-cheapest offers are asked at the same time, since
- * nobody knows how much of each there is.
+ * Plans which machines to rent for the waiting tasks that do not fit on machines already booting:
+ * for each task shape, the offers that are cheapest per task. At most `most` machines of one offer,
+ * the limit of one request; the next-cheapest offers are requested at the same time, since the
+ * available number of each is unknown.
  */
 export function plan(
   needs: readonly CapacityRequest[],
@@ -78,40 +78,40 @@
   types: ReadonlyMap<string, MachineType>,
   offers: readonly Offer[],
   most: number,
-  suits: Suits = () => false,
-): Wish[] {
-  let bins: Bin[] = [];
+  matchesJob: JobMatchesOffer = () => false,
+): RentalRequest[] {
+  let freeMachines: FreeMachine[] = [];
   for (const machine of booting) {
     const type = types.get(machine.type);
     const { zone, spot } = machine;
-    if (type !== undefined) bins.push(binOf({ type, zone, spot, price: 0 }));
+    if (type !== undefined) freeMachines.push(emptyMachine({ type, zone, spot, price: 0 }));
   }
-  const wishes = new Map<Offer, number>();
-  // Large tasks first: small ones fill what is left.
+  const counts = new Map<Offer, number>();
+  // Large tasks first: small ones fill the remaining space.
   for (const need of [...needs].sort((a, b) => b.cpus - a.cpus || b.memGb - a.memGb)) {
     let left = need.count;
-    for (const bin of bins) {
-      while (left > 0 && fits(bin, need, suits)) {
-        take(bin, need);
+    for (const machine of freeMachines) {
+      while (left > 0 && fits(machine, need, matchesJob)) {
+        reserve(machine, need);
         left--;
       }
     }
-    bins = bins.filter(({ cpus, gpus }) => cpus > 0 || gpus > 0);
+    freeMachines = freeMachines.filter(({ cpus, gpus }) => cpus > 0 || gpus > 0);
     const usable = offers
-      .filter((offer) => fits(binOf(offer), need, suits) && covered(offer, need))
+      .filter((offer) => fits(emptyMachine(offer), need, matchesJob) && withinPrice(offer, need))
       .map((offer) => ({ offer, price: offer.price / Math.min(tasksPer(offer.type, need), left) }))
       .sort((a, b) => a.price - b.price);
     for (const { offer } of usable) {
-      for (let n = wishes.get(offer) ?? 0; left > 0 && n < most; n++) {
-        const bin = binOf(offer);
-        bins.push(bin);
-        wishes.set(offer, n + 1);
-        while (left > 0 && fits(bin, need, suits)) {
-          take(bin, need);
+      for (let n = counts.get(offer) ?? 0; left > 0 && n < most; n++) {
+        const machine = emptyMachine(offer);
+        freeMachines.push(machine);
+        counts.set(offer, n + 1);
+        while (left > 0 && fits(machine, need, matchesJob)) {
+          reserve(machine, need);
           left--;
         }
       }
     }
   }
-  return [...wishes].map(([offer, count]) => ({ offer, count }));
+  return [...counts].map(([offer, count]) => ({ offer, count }));
 }
--- a/src/membership/handover.ts
+++ b/src/membership/handover.ts
@@ -17,15 +17,15 @@
 export const isClaim = (value: unknown): value is Claim =>
   typeof value === "object" && value !== null && "node" in value && "run" in value;
 
-/** A claim and who is to have it. */
+/** A claim and its next owner. */
 export interface Transfer {
   key: string;
   version: number;
   to: string;
 }
 
-/** What a membership holds, as far as handing over needs it. */
-interface Held {
+/** The part of `Membership` that a handover needs. */
+interface MembershipView {
   readonly node: string;
   readonly layout: Layout;
   readonly store: Store;
@@ -38,56 +38,60 @@
 }
 
 /**
- * Claims that change hands while nobody waits: each is one conditional write, attached to the lease
- * that its new owner has offered in its presence. A crash before it leaves the old owner, one after
- * it the new one; without an answer the watch tells which.
+ * Transfers claims between controllers without a moment in which they have no owner. Each transfer
+ * is one conditional write, attached to the lease that the new owner offers in its presence record.
+ * After a crash before the write the old owner still has the claim, after it the new one. If the
+ * write is not answered, the watch shows which of the two holds.
  */
 export class Handover {
   constructor(
-    readonly held: Held,
-    readonly asked: {
-      /** What this controller shows of itself; null without a lease. */
+    readonly membership: MembershipView,
+    readonly callbacks: {
+      /** This controller's presence; null without a lease. */
       own(): Presence | null;
-      /** Those who may own something, with what they have. */
+      /** Controllers that may own parts, with the number of parts they own. */
       candidates(): Candidate[];
     },
   ) {}
 
   /**
-   * Claims change from this controller to their successors in one write, each attached to the lease
-   * that its new owner has offered: there is no moment without an owner, and workers are sent on at
-   * once. False when there is nobody to hand over to.
+   * Transfers this controller's claims to their best candidates, each attached to the lease that the
+   * new owner offers: there is no moment without an owner, and workers are redirected at once. False
+   * when there is no candidate or a claim has changed.
    */
   async handOver(parts: readonly number[], lead: boolean, why: string): Promise<boolean> {
-    const { layout, owned, leaderClaimVersion: leaderStamp, leaderKey: leader } = this.held;
-    const others = this.asked.candidates().filter(({ name }) => name !== this.held.node);
+    const { layout, owned, leaderClaimVersion: leaderVersion, leaderKey: leader } = this.membership;
+    const others = this.callbacks.candidates().filter(({ name }) => name !== this.membership.node);
     const vacancies: Vacancy[] = parts.map((part) => ({ part, home: layout.home(part) }));
     if (lead) vacancies.push({ part: null, home: null });
     const ranked = rankOwners(vacancies, others);
     const transfers: Transfer[] = [];
     for (const [part, [to]] of ranked) {
-      const version = part === null ? leaderStamp : owned.get(part);
+      const version = part === null ? leaderVersion : owned.get(part);
       if (to === undefined || version === undefined || version === null) return false;
       transfers.push({ key: part === null ? leader : keys.claim(part), version, to });
     }
-    const own = this.asked.own();
+    const own = this.callbacks.own();
     if (transfers.length === 0 || own === null || own.lease === null) return false;
-    // That we want nothing is said in the same write: the new owner of our home would have given it
-    // back to us at once, and we would have kept it, unreached by its machines, until the end.
+    // The same write publishes that this controller accepts no parts. Otherwise the new owner of its
+    // home part would return the part at once, and this controller would keep it, although the
+    // machines do not reach it.
     const value = presenceRecord(own);
-    const show = { put: keys.node(this.held.node), value, lease: own.lease };
-    // Small transactions: the rest follows, and whoever is cut off in between has given a part of it.
-    const most = this.held.store.limits.ops - 1;
-    for (let from = 0; from < transfers.length; from += most) {
-      const some = transfers.slice(from, from + most);
-      if (!(await this.transfer(some, [], [show], why))) return false;
+    const presenceChange = { put: keys.node(this.membership.node), value, lease: own.lease };
+    // In several transactions if one cannot hold all: if the connection fails in between, the first
+    // transfers are already done.
+    const maxTransfers = this.membership.store.limits.ops - 1;
+    for (let from = 0; from < transfers.length; from += maxTransfers) {
+      const batch = transfers.slice(from, from + maxTransfers);
+      if (!(await this.transfer(batch, [], [presenceChange], why))) return false;
     }
     return true;
   }
 
   /**
-   * After a verdict: all claims of a controller that does not serve are written for its successors,
-   * as many as one transaction holds. They are on different ones, as after the end of its lease.
+   * After a verdict: writes the claims of a failed controller for their best candidates, as many as
+   * one transaction holds. The candidates are ranked as after the expiry of its lease, so that the
+   * claims go to different controllers.
    */
   async reassign(
     name: string,
@@ -97,7 +101,7 @@
   ): Promise<boolean> {
     const transfers: Transfer[] = [];
     const vacancies: Vacancy[] = [];
-    const { mirror, layout, store } = this.held;
+    const { mirror, layout, store } = this.membership;
     const versionOf = (key: string): number | null => {
       const row = mirror.rows.get(key);
       if (row === undefined || !isClaim(row.value)) return null;
@@ -108,20 +112,20 @@
     for (let part = 0; part < layout.parts; part++) {
       if (versionOf(keys.claim(part)) !== null) vacancies.push({ part, home: layout.home(part) });
     }
-    const candidates = this.asked.candidates().filter((one) => one.name !== name);
+    const candidates = this.callbacks.candidates().filter((one) => one.name !== name);
     for (const [part, [to]] of rankOwners(vacancies, candidates)) {
       const key = part === null ? leader : keys.claim(part);
       if (to === undefined) return false;
       transfers.push({ key, version: versionOf(key)!, to });
     }
-    const most = store.limits.ops - then.length;
-    return this.transfer(transfers.slice(0, most), when, then, `${name} was judged`);
+    const maxTransfers = store.limits.ops - then.length;
+    return this.transfer(transfers.slice(0, maxTransfers), when, then, `verdict against ${name}`);
   }
 
   /**
-   * Writes claims for others, on condition of the versions that they have: the owner's own to give
-   * away, or, after a verdict, those of a controller that does not serve (`docs/failure.md`). False
-   * when a claim has changed meanwhile, or a lease that was offered has ended.
+   * Writes claims for other controllers, on condition that the claims still have the given versions:
+   * either this controller's own claims or, after a verdict, those of a failed controller
+   * (`docs/failure.md`). False when a claim has changed meanwhile, or a lease offered has expired.
    */
   async transfer(
     transfers: readonly Transfer[],
@@ -129,28 +133,28 @@
     then: readonly Change[],
     why: string,
   ): Promise<boolean> {
-    const { node, stability: standings, store, mirror, log } = this.held;
+    const { node, stability, store, mirror, log } = this.membership;
     const changes: Change[] = [...then];
-    const given: { key: string; value: Claim }[] = [];
+    const written: { key: string; value: Claim }[] = [];
     for (const { key, to } of transfers) {
-      const presence = to === node ? this.asked.own() : standings.presenceOf(to);
+      const presence = to === node ? this.callbacks.own() : stability.presenceOf(to);
       if (presence === null || presence.lease === null) return false;
       const value: Claim = { node: to, run: presence.run };
       changes.push({ put: key, value, lease: presence.lease });
-      given.push({ key, value });
+      written.push({ key, value });
     }
     const conditions = transfers.map(({ key, version }) => ({ key, version }));
     try {
       const result = await store.transact([...conditions, ...when], changes);
       if (!result.ok) return false;
       for (const { key, to } of transfers) log.info({ key, to, why }, "claim handed over");
-      // Our own listeners take it from here, as after any other change of a claim.
-      for (const { key, value } of given) {
+      // The mirror's listeners react to this as to any other change of a claim.
+      for (const { key, value } of written) {
         mirror.apply({ key, value, version: result.revision, deleted: false });
       }
       return true;
     } catch (error) {
-      // The other's lease has ended since it was offered; nothing was changed.
+      // The new owner's lease has expired since it was offered; nothing was changed.
       if (error instanceof NoLease) return false;
       throw error;
     }
--- a/src/membership/layout.ts
+++ b/src/membership/layout.ts
@@ -1,17 +1,17 @@
-/** Which part a machine belongs to, and which controller is at home in a part. */
+/** A controller of the cluster, as named in the settings. */
 export interface Member {
   name: string;
   zone: string;
 }
 
-/** FNV-1a: spreads the similar names that clouds give out; stable across versions. */
+/** FNV-1a with a final mix: spreads the similar names that clouds assign; stable across versions. */
 export function hash(text: string): number {
   let h = 0x811c9dc5;
   for (let i = 0; i < text.length; i++) {
     h ^= text.charCodeAt(i);
     h = Math.imul(h, 0x01000193);
   }
-  // FNV's low bits alone follow the last character too closely.
+  // Without this, FNV's low bits depend too much on the last character.
   h ^= h >>> 16;
   h = Math.imul(h, 0x85ebca6b);
   h ^= h >>> 13;
@@ -19,33 +19,34 @@
 }
 
 /**
- * Part `i` is at home on the `i`th controller. A machine is hashed into one of the parts at home
- * in its own zone, so that a cut between zones leaves owners with the machines they can reach; in
- * a zone without a controller, into any part.
+ * Which part a machine belongs to, and which controller is the home of a part. Part `i` has the
+ * `i`th controller as its home. A machine is hashed into one of the parts whose home is in the
+ * machine's zone, so that after a network partition between zones owners still reach their machines;
+ * in a zone without a controller, into any part.
  */
 export class Layout {
   readonly parts: number;
-  readonly #byZone = new Map<string, number[]>();
-  readonly #all: number[];
+  readonly #partsByZone = new Map<string, number[]>();
+  readonly #allParts: number[];
 
   constructor(readonly members: readonly Member[]) {
     this.parts = members.length;
-    this.#all = members.map((_, i) => i);
+    this.#allParts = members.map((_, i) => i);
     members.forEach(({ zone }, i) => {
-      const list = this.#byZone.get(zone);
-      if (list === undefined) this.#byZone.set(zone, [i]);
+      const list = this.#partsByZone.get(zone);
+      if (list === undefined) this.#partsByZone.set(zone, [i]);
       else list.push(i);
     });
   }
 
   partOf(machine: string, zone: string): number {
-    const parts = this.#byZone.get(zone) ?? this.#all;
+    const parts = this.#partsByZone.get(zone) ?? this.#allParts;
     return parts[hash(machine) % parts.length]!;
   }
 
   /** Parts whose machines may be in this zone. */
   partsOf(zone: string): number[] {
-    return this.#byZone.get(zone) ?? this.#all;
+    return this.#partsByZone.get(zone) ?? this.#allParts;
   }
 
   home(part: number): Member {
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -20,30 +20,30 @@
 
 /**
  * Holds this controller's lease at the state service and, attached to it, its claims on parts and
- * on leadership. A claim's version makes the fencing token (`fencingTokenOf`): versions only grow, and no
- * two changes of a key share one.
+ * on leadership. The fencing token is made from the claim's version (`fencingTokenOf`): versions only
+ * grow, and no two changes of a key have the same version.
  */
 export class Membership {
   readonly owned = new Map<number, number>();
   leaderClaimVersion: number | null = null;
-  /** The key of the claim that it is the version of. */
+  /** Key of the leader claim whose version this is. */
   leaderKey: string = keys.leader;
   readonly ttlMs: number;
   #lease: number | string | null = null;
   #validUntil = Number.NEGATIVE_INFINITY;
   #startedAt: number;
-  /** When this process last showed that it runs, and when it last woke after it had not. */
-  #beatAt: number;
-  #awakeAt = Number.NEGATIVE_INFINITY;
-  #freeSince = new Map<string, number>();
+  /** When a timer of this process last ran, and when the process last resumed after a stall. */
+  #aliveAt: number;
+  #resumedAt = Number.NEGATIVE_INFINITY;
+  #unclaimedSince = new Map<string, number>();
   readonly stability: ControllerStability;
-  /** Gives claims to others: own ones, or after a verdict those of one that does not serve. */
+  /** Transfers claims to others: own ones or, after a verdict, those of a failed controller. */
   readonly handover: Handover;
-  readonly #offered = new Map<string, number>();
-  #shyUntil = Number.NEGATIVE_INFINITY;
+  readonly #offerAt = new Map<string, number>();
+  #declineUntil = Number.NEGATIVE_INFINITY;
   #drained = false;
   #stopped = false;
-  #wakeClaims: () => void = () => undefined;
+  #wakeClaimLoop: () => void = () => undefined;
 
   constructor(
     readonly node: string,
@@ -55,19 +55,19 @@
     readonly log: Log,
     readonly handlers: Handlers,
     leaseS: number,
-    /** Optional packages that this controller has loaded. */
-    readonly speaks: readonly string[] = [],
-    /** Whether there is doubt that another serves: nothing is given to it then. */
-    readonly doubted: (name: string) => boolean = () => false,
+    /** Names of the optional packages that this controller has loaded. */
+    readonly loadedPackages: readonly string[] = [],
+    /** Whether another controller is suspected to have failed: it is given no claims then. */
+    readonly isSuspected: (name: string) => boolean = () => false,
   ) {
-    // A quarter of the workers' lease: after a crash there is time to take over, load and answer
-    // before the workers give up their tasks.
+    // A quarter of the workers' lease: after a crash there is time for another controller to take
+    // over, load the records and answer reports before the workers give up their tasks.
     this.ttlMs = (leaseS * 1000) / 4;
     this.#startedAt = clock.now();
-    this.#beatAt = this.#startedAt;
+    this.#aliveAt = this.#startedAt;
     this.stability = new ControllerStability(mirror, clock, this.ttlMs);
     this.handover = new Handover(this, {
-      own: () => this.#own(),
+      own: () => this.#ownPresence(),
       candidates: () => this.#candidates(),
     });
     mirror.on("w/p/", (event) => this.#claimChanged(event.key, event.version, event.value));
@@ -79,24 +79,24 @@
   }
 
   /**
-   * Whether this controller may act as an owner: its lease cannot have ended yet, by the slowest
-   * clock allowed, and it has not stood still since it last heard the store: one that froze for less
-   * than a lease may have been judged meanwhile, and what waited for it comes in before any timer fires.
+   * Whether this controller may act as an owner: its lease cannot have expired, by the slowest clock
+   * allowed, and it has not stalled since it last heard from the store. After a stall shorter than a
+   * lease, a verdict may have moved its claims, and waiting messages are handled before any timer.
    */
   valid(): boolean {
     const now = this.clock.now();
-    if (now >= this.#validUntil || now - this.#beatAt > this.ttlMs / 2) return false;
-    return this.mirror.freshAsOf >= this.#awakeAt;
+    if (now >= this.#validUntil || now - this.#aliveAt > this.ttlMs / 2) return false;
+    return this.mirror.freshAsOf >= this.#resumedAt;
   }
 
-  /** Called by timers that only the whole process standing still, or very late, delays. */
+  /** Called by timers that are late only if the whole process stalled or is overloaded. */
   noteProcessAlive(): void {
     const now = this.clock.now();
-    if (now - this.#beatAt > this.ttlMs / 2) {
-      this.#awakeAt = now;
-      this.log.warn({ forMs: Math.round(now - this.#beatAt) }, "stood still");
+    if (now - this.#aliveAt > this.ttlMs / 2) {
+      this.#resumedAt = now;
+      this.log.warn({ stalledMs: Math.round(now - this.#aliveAt) }, "process stalled; resyncing");
     }
-    this.#beatAt = now;
+    this.#aliveAt = now;
   }
 
   ownerOf(part: number): string | null {
@@ -105,16 +105,16 @@
   }
 
   start(): void {
-    this.#beatAt = this.clock.now();
+    this.#aliveAt = this.clock.now();
     void this.#loop(
       () => this.#renew(),
       () => sleep(this.clock, this.ttlMs / 4),
     );
     void this.#loop(
-      () => this.#claim(),
+      () => this.#claimVacantKeys(),
       () =>
         new Promise((resolve) => {
-          this.#wakeClaims = resolve;
+          this.#wakeClaimLoop = resolve;
           this.clock.after(this.ttlMs / 8, () => {
             this.noteProcessAlive();
             resolve();
@@ -128,34 +128,34 @@
   }
 
   /**
-   * This controller reaches the state service, but workers or users do not reach it: others
-   * should own the parts for a while. Does nothing when there is no one else.
+   * Gives parts and leadership to others and declines parts for a while: workers or users do not
+   * reach this controller, but it reaches the state service. No effect without another controller.
    */
   async relinquish(parts: number[], forMs: number, why: string): Promise<void> {
     if (this.#candidates().every(({ name }) => name === this.node)) return;
-    this.#shyUntil = this.clock.now() + forMs;
-    await this.#leave(parts, why);
+    this.#declineUntil = this.clock.now() + forMs;
+    await this.#handOverOrRelease(parts, why);
   }
 
   /**
-   * Gives all that it has to others, and takes nothing any more, until `on` is false: before this
-   * program ends, or while its machine is worked on. Resolves once nothing is its own; the others
-   * need not wait for a lease to end, and no part is without an owner.
-   * @throws when the state service does not answer: the claims are left to the lease then
+   * Hands over all claims and accepts no new ones until called with `on` false: before this program
+   * ends, or during maintenance of its machine. Resolves once this controller owns nothing; the
+   * others need not wait for a lease to expire, and no part is without an owner.
+   * @throws when the state service does not answer: the claims then last until the lease expires
    */
   async drain(on = true): Promise<void> {
     this.#drained = on;
-    if (!on) return this.#wakeClaims();
-    await this.#leave([...this.owned.keys()], "drained");
-    await this.#show();
+    if (!on) return this.#wakeClaimLoop();
+    await this.#handOverOrRelease([...this.owned.keys()], "drained");
+    await this.#publishPresence();
   }
 
-  /** Hands parts, and leadership, to their successors; what nobody can be given is dropped. */
-  async #leave(parts: number[], why: string): Promise<void> {
+  /** Hands parts and leadership over to others, or releases them if that fails. */
+  async #handOverOrRelease(parts: number[], why: string): Promise<void> {
     const lead = this.leaderClaimVersion !== null;
-    const given = await this.handover.handOver(parts, lead, why).catch(() => false);
-    if (given) return;
-    // All of it at once, whatever becomes of the claims.
+    const handedOver = await this.handover.handOver(parts, lead, why).catch(() => false);
+    if (handedOver) return;
+    // Stop acting as owner of all of them at once, whether or not the claims can be removed.
     if (this.leaderClaimVersion !== null) {
       this.leaderClaimVersion = null;
       this.handlers.deposed();
@@ -164,14 +164,14 @@
     await this.#finishRelease();
   }
 
-  /** This controller's lease, for records that are to end with it. */
+  /** This controller's lease, for records that are to be removed when it expires. */
   get lease(): number | string | null {
     return this.#lease;
   }
 
-  #own(): Presence | null {
-    const { run, speaks } = this;
-    return this.#lease === null ? null : { run, speaks, lease: this.#lease, shy: this.#shy() };
+  #ownPresence(): Presence | null {
+    const { run, loadedPackages: speaks } = this;
+    return this.#lease === null ? null : { run, speaks, lease: this.#lease, shy: this.#declines() };
   }
 
   #drop(part: number, why: string): void {
@@ -192,7 +192,7 @@
       try {
         await step();
       } catch (error) {
-        this.log.debug({ why: String(error) }, "membership step failed");
+        this.log.debug({ why: String(error) }, "lease or claim step failed; will be retried");
       }
       await pause();
     }
@@ -209,19 +209,19 @@
         if (error instanceof NoLease) {
           this.#lease = null;
           this.#validUntil = Number.NEGATIVE_INFINITY;
-          this.log.warn({}, "lease lost");
-          this.#dropAll("lease lost");
+          this.log.warn({}, "lease expired; releasing all parts and leadership");
+          this.#dropAll("lease expired");
         }
         throw error;
       }
     }
     this.#validUntil = sentAt + this.ttlMs * (1 - DRIFT);
-    await this.#show();
+    await this.#publishPresence();
   }
 
-  /** Tells the others that we are here. They hand our parts back then: so not before we can read. */
-  async #show(): Promise<void> {
-    const own = this.#own();
+  /** Publishes this controller's presence once the mirror is read: others then return its parts. */
+  async #publishPresence(): Promise<void> {
+    const own = this.#ownPresence();
     if (own === null || !this.mirror.ready) return;
     const key = keys.node(this.node);
     if (matchesPublished(this.mirror.rows.get(key)?.value, own)) return;
@@ -230,15 +230,15 @@
     this.mirror.apply({ key, value, version: revision, deleted: false });
   }
 
-  #shy(): boolean {
-    return this.#drained || this.clock.now() < this.#shyUntil;
+  #declines(): boolean {
+    return this.#drained || this.clock.now() < this.#declineUntil;
   }
 
-  #serving(name: string): boolean {
-    return this.stability.presenceOf(name)?.shy === false && !this.doubted(name);
+  #canServe(name: string): boolean {
+    return this.stability.presenceOf(name)?.shy === false && !this.isSuspected(name);
   }
 
-  /** Those who may own something, this controller included, with what they have. */
+  /** Controllers that may own parts, this one included, with the number of parts they own. */
   #candidates(): Candidate[] {
     const load = new Map<string, number>();
     for (let part = 0; part < this.layout.parts; part++) {
@@ -246,36 +246,36 @@
       if (owner !== null) load.set(owner, (load.get(owner) ?? 0) + 1);
     }
     return this.layout.members
-      .filter(({ name }) => (name === this.node ? !this.#shy() : this.#serving(name)))
+      .filter(({ name }) => (name === this.node ? !this.#declines() : this.#canServe(name)))
       .map((member) => ({ ...member, load: load.get(member.name) ?? 0 }));
   }
 
   /**
-   * Removes a claim of ours that we no longer act on. Giving a part up while the state service does
-   * not answer leaves the claim there, and the lease that we go on renewing kept it: nobody owned
-   * the part any more, and nobody else could take it.
+   * Removes claims of this run that it no longer acts on. If a part was given up while the state
+   * service did not answer, its claim is still stored, and the lease, which is still being renewed,
+   * would keep it: nobody would act as the owner, and no other controller could claim the part.
    */
   async #finishRelease(): Promise<void> {
-    const left: [key: string, held: boolean][] = [];
+    const claims: [key: string, held: boolean][] = [];
     for (let part = 0; part < this.layout.parts; part++) {
-      left.push([keys.claim(part), this.owned.has(part)]);
+      claims.push([keys.claim(part), this.owned.has(part)]);
     }
-    left.push([leaderKey(this.mirror), this.leaderClaimVersion !== null]);
-    for (const [key, held] of left) {
+    claims.push([leaderKey(this.mirror), this.leaderClaimVersion !== null]);
+    for (const [key, held] of claims) {
       const row = held ? undefined : this.mirror.rows.get(key);
-      if (row === undefined || !this.#mine(row.value)) continue;
-      this.log.info({ key }, "claim removed that is not acted on");
+      if (row === undefined || !this.#isOwn(row.value)) continue;
+      this.log.info({ key }, "removing a claim of this controller that it no longer acts on");
       await this.store.transact([{ key, version: row.version }], [{ remove: key }]);
     }
   }
 
-  async #claim(): Promise<void> {
+  async #claimVacantKeys(): Promise<void> {
     if (this.#lease === null || !this.valid() || !this.mirror.ready) return;
     const now = this.clock.now();
     if (now - this.mirror.freshAsOf > this.ttlMs) return;
-    // Records are being put there by a restore: what is missing yet would look as if it had never been.
+    // A restore is still writing records: a record not yet restored would look as if it never existed.
     if (restoreStateOf(this.mirror).state === "filling") return;
-    await this.#show();
+    await this.#publishPresence();
     await this.#finishRelease();
     const vacancies: Vacancy[] = [];
     const leader = leaderKey(this.mirror);
@@ -285,104 +285,104 @@
       vacancies.push({ part, home: this.layout.home(part) });
     }
     const ranked = rankOwners(vacancies, this.#candidates());
-    const patience = (part: number | null): number =>
-      this.#patience(part, ranked.get(part) ?? [], now);
-    await this.#claimKey(leader, patience(null));
+    const delayMs = (part: number | null): number =>
+      this.#claimDelayMs(part, ranked.get(part) ?? [], now);
+    await this.#claimKey(leader, delayMs(null));
     for (let part = 0; part < this.layout.parts; part++) {
       const home = this.layout.home(part).name;
       if (this.owned.has(part)) {
-        // Else, once given up, it would seem to have been free since we took it.
-        this.#freeSince.delete(keys.claim(part));
-        // Gently: one part at a time, and only to a controller that has been up for a while.
-        if (home === this.node || !this.#serving(home) || !this.stability.isStable(home)) continue;
-        if (await this.#goHome(part, home)) return;
-      } else await this.#claimKey(keys.claim(part), patience(part));
+        // Otherwise the part, once given up, would count as unclaimed since before it was taken here.
+        this.#unclaimedSince.delete(keys.claim(part));
+        // One part at a time, and only to a controller that has been present for a while.
+        if (home === this.node || !this.#canServe(home) || !this.stability.isStable(home)) continue;
+        if (await this.#returnToHome(part, home)) return;
+      } else await this.#claimKey(keys.claim(part), delayMs(part));
     }
   }
 
-  async #goHome(part: number, home: string): Promise<boolean> {
+  async #returnToHome(part: number, home: string): Promise<boolean> {
     const version = this.owned.get(part)!;
-    const why = `back to ${home}`;
+    const why = `returned to its home controller ${home}`;
     if (this.stability.presenceOf(home)?.lease !== null) {
       return this.handover.transfer([{ key: keys.claim(part), version, to: home }], [], [], why);
     }
-    // A version that offers no lease: it finds the part free. If it does not want it, it is not
-    // asked again for a while; the part would be without an owner for half of the time.
+    // The home runs a version that offers no lease: the part is released for it to claim. If it does
+    // not, this is not repeated for a while: else the part would have no owner half of the time.
     const now = this.clock.now();
-    if (now - (this.#offered.get(home) ?? Number.NEGATIVE_INFINITY) < this.ttlMs * 8) return false;
-    this.#offered.set(home, now);
+    if (now - (this.#offerAt.get(home) ?? Number.NEGATIVE_INFINITY) < this.ttlMs * 8) return false;
+    this.#offerAt.set(home, now);
     this.#drop(part, why);
     await this.#finishRelease();
     return true;
   }
 
-  /** How long a key has to be free before this controller takes it; infinity: never. */
-  #patience(part: number | null, ranked: readonly string[], now: number): number {
+  /** How long a key must be unclaimed before this controller claims it; infinity: never. */
+  #claimDelayMs(part: number | null, ranked: readonly string[], now: number): number {
     if (this.#drained) return Number.POSITIVE_INFINITY;
-    // Leadership has no home, but at a common start somebody should take it without waiting: until
-    // there is a leader nobody rents machines, and submissions cannot be judged.
-    const young = now - this.#startedAt < this.ttlMs;
-    const home = part !== null || young ? this.layout.home(part ?? 0).name : null;
-    if (home === this.node && !this.#shy()) return 0;
-    // After a common start everyone is given time to take what is theirs.
-    if (young) return Number.POSITIVE_INFINITY;
-    if (this.#shy()) return ranked.length > 0 ? this.ttlMs * 4 : 0;
-    // The first of those whom everybody would choose takes it at once. The next one waits, for a
-    // step: the first may have ended as well, before its lease has.
+    // Leadership has no home. When all controllers start together, the home of part 0 claims it without
+    // a delay: until there is a leader, no machines are rented and submissions cannot be checked.
+    const startingUp = now - this.#startedAt < this.ttlMs;
+    const home = part !== null || startingUp ? this.layout.home(part ?? 0).name : null;
+    if (home === this.node && !this.#declines()) return 0;
+    // When all controllers start together, each has time to claim its own home part.
+    if (startingUp) return Number.POSITIVE_INFINITY;
+    if (this.#declines()) return ranked.length > 0 ? this.ttlMs * 4 : 0;
+    // The first in the ranking claims it at once. Each following one waits one step longer: those
+    // before it may have failed as well, with leases that have not expired yet.
     return ranked.indexOf(this.node) * (this.ttlMs / 2);
   }
 
-  async #claimKey(key: string, patienceMs: number): Promise<void> {
+  async #claimKey(key: string, delayMs: number): Promise<void> {
     const row = this.mirror.rows.get(key);
     const now = this.clock.now();
     if (row !== undefined) {
-      this.#freeSince.delete(key);
-      // An earlier run of this very controller: it has ended, or this one would not be there. Only
-      // for a while after the start, so that two under one name by mistake do not take turns for ever.
-      const earlier = isClaim(row.value) && row.value.node === this.node && !this.#mine(row.value);
+      this.#unclaimedSince.delete(key);
+      // Claimed by an earlier run of this controller, which must have ended. Only for a while after
+      // the start: two processes with one name by mistake would take it from each other for ever.
+      const earlier = isClaim(row.value) && row.value.node === this.node && !this.#isOwn(row.value);
       if (!earlier || now - this.#startedAt > this.ttlMs * 1.5) return;
       await this.handover.transfer(
         [{ key, version: row.version, to: this.node }],
         [],
         [],
-        "an earlier run's",
+        "claimed by an earlier run of this controller",
       );
       return;
     }
-    const since = this.#freeSince.get(key) ?? now;
-    this.#freeSince.set(key, since);
-    if (now - since < patienceMs || this.#lease === null) return;
+    const since = this.#unclaimedSince.get(key) ?? now;
+    this.#unclaimedSince.set(key, since);
+    if (now - since < delayMs || this.#lease === null) return;
     const value: Claim = { node: this.node, run: this.run };
     const result = await this.store.transact(
       [{ key, version: 0 }],
       [{ put: key, value, lease: this.#lease }],
     );
-    // Our own listeners take it from here. Without an answer the watch tells: the claim carries
-    // the name of this run.
+    // The mirror's listeners react to the claim. If the write is not answered, the watch shows whether
+    // it was applied: the claim contains this run's id.
     if (result.ok) this.mirror.apply({ key, value, version: result.revision, deleted: false });
   }
 
-  #mine(value: unknown): boolean {
+  #isOwn(value: unknown): boolean {
     return isClaim(value) && value.node === this.node && value.run === this.run;
   }
 
   #claimChanged(key: string, version: number, value: unknown): void {
     const part = Number(key.slice("w/p/".length));
-    if (value === undefined) this.#wakeClaims();
+    if (value === undefined) this.#wakeClaimLoop();
     const token = this.owned.get(part);
-    if (this.#mine(value)) {
+    if (this.#isOwn(value)) {
       if (token === version) return;
-      if (token !== undefined) this.#drop(part, "claimed anew");
-      // Our own claim whose answer was lost; or simply the watch being faster than the answer.
+      if (token !== undefined) this.#drop(part, "claim was written again with a new version");
+      // A claim of this run: its answer was lost, or the watch was faster than the answer.
       this.owned.set(part, version);
       this.handlers.gained(part, version);
     } else if (token !== undefined && version > token) {
-      this.#drop(part, "claim ended");
+      this.#drop(part, "claim was removed or taken by another controller");
     }
   }
 
   #leaderChanged(key: string, version: number, value: unknown): void {
-    if (this.#mine(value)) {
+    if (this.#isOwn(value)) {
       if (this.leaderClaimVersion === version) return;
       this.leaderClaimVersion = version;
       this.leaderKey = key;
--- a/src/membership/owner-ranking.ts
+++ b/src/membership/owner-ranking.ts
@@ -1,27 +1,28 @@
 import { hash, type Member } from "./layout.js";
 
 export interface Vacancy {
-  /** A part, or null for leadership, which has no home. */
+  /** A part, or null for leadership, which has no home controller. */
   part: number | null;
   home: Member | null;
 }
 
 export interface Candidate extends Member {
-  /** Parts that it owns. */
+  /** Number of parts it owns. */
   load: number;
 }
 
-const MIX = 0x9e3779b1;
+const HASH_MULTIPLIER = 0x9e3779b1;
 
-/** Spreads the parts of one lost controller, and of each of several, differently (rendezvous). */
-const weight = (name: string, part: number | null): number =>
-  Math.imul(hash(`${name}/${part ?? "lead"}`), MIX) >>> 0;
+/** Rendezvous hashing: the parts of a failed controller are spread, differently for each controller. */
+const rendezvousWeight = (name: string, part: number | null): number =>
+  Math.imul(hash(`${name}/${part ?? "lead"}`), HASH_MULTIPLIER) >>> 0;
 
 /**
- * Who should own what nobody owns, the best first: its home, then those of its zone, who reach its
- * machines, then who has least, then by a draw that is the same for everybody. What is given out is
- * counted, so the parts of two controllers that end together go to two others. Everybody who has
- * the same keys before him comes to the same answer, and nobody has to wait to see who comes.
+ * Ranks the candidates for each unowned part and for leadership, best first: the home controller,
+ * then controllers in the home's zone, which reach its machines, then those that own the fewest
+ * parts, then by a hash that is the same on every controller. A part counts towards the load of its
+ * first candidate, so the parts of two controllers that fail together go to two others. Controllers
+ * that have read the same keys compute the same ranking, so none has to wait for other claims.
  */
 export function rankOwners(
   vacancies: readonly Vacancy[],
@@ -36,9 +37,9 @@
         rank: [
           home !== null && name === home.name ? 0 : 1,
           home !== null && zone !== home.zone ? 1 : 0,
-          // Who leads has to look after the whole; one part more or less does not decide.
+          // The leader's work covers the whole cluster; one part more or less does not matter.
           part === null ? 0 : load.get(name)!,
-          weight(name, part),
+          rendezvousWeight(name, part),
         ],
       }))
       .sort((a, b) => {
@@ -54,10 +55,11 @@
 }
 
 /**
- * How long a controller has to have stood before parts go back to it: a while, and twice as long
- * with every end among the last ones, as flapping routes are damped. One that ends every 20 s
- * would have its part moved twice a time, and be given it again just before the next end.
+ * How long a controller must have been present before parts are returned to it: `baseMs`, doubled
+ * for each recent restart up to a bound, like route flap damping. Otherwise a controller that
+ * restarts every 20 s would have its part moved twice per restart, and would get it back just
+ * before the next one.
  */
-export function requiredStableMs(ends: number, onceMs: number): number {
-  return onceMs * 2 ** Math.min(ends, 6);
+export function requiredStableMs(recentRestarts: number, baseMs: number): number {
+  return baseMs * 2 ** Math.min(recentRestarts, 6);
 }
--- a/src/membership/presence.ts
+++ b/src/membership/presence.ts
@@ -2,28 +2,29 @@
 import type { Mirror } from "../state/mirror.js";
 import { KNOWN_SCHEMA } from "../state/schema.js";
 
-/** What a controller says of itself while its lease holds (`w/n/{name}`). */
+/** What a controller publishes about itself while its lease holds (`w/n/{name}`). */
 export interface Presence {
   /** Distinguishes this run of the process from an earlier one under the same name. */
   run: string;
-  /** It is there, but others should own the parts. */
+  /** It is running, but accepts no parts: others should own them. */
   shy: boolean;
   /**
-   * The lease that its claims are attached to: whoever has a claim may hand it over in one write,
-   * attached to this. Null from a version before that.
+   * The lease that its claims are attached to: the owner of a claim may hand it over in one write
+   * that attaches the claim to this lease. Null from a version that does not publish it.
    */
   lease: number | string | null;
-  /** Optional packages that it has loaded. */
+  /** Names of the optional packages that it has loaded. */
   speaks: readonly string[];
 }
 
 /**
- * What a controller reads beyond what the first version with this record did. 1: of a chunk in
- * several pages the newest record counts, and records of one write are one state in pieces.
+ * Version of the record format that this controller reads, counted from the first version that
+ * wrote a presence record. 1: if a chunk has several pages, the newest record counts, and the
+ * records of one write together form one state.
  */
 export const RECORD_FORMAT = 1;
 
-/** Whether all controllers that are there read records as this one does. One that is not is nobody's. */
+/** Whether all controllers that are present read the current format. One that is absent owns nothing. */
 export function allReadCurrentFormat(mirror: Mirror): boolean {
   for (const [key, { value }] of mirror.rows) {
     if (!key.startsWith(keys.node(""))) continue;
@@ -36,9 +37,9 @@
 export function parsePresence(value: unknown): Presence | null {
   if (typeof value !== "object" || value === null) return null;
   const { run, shy, lease, speaks } = value as Record<string, unknown>;
-  const id = typeof lease === "number" || typeof lease === "string" ? lease : null;
-  const packages = Array.isArray(speaks) ? speaks.filter((one) => typeof one === "string") : [];
-  return { run: String(run), shy: shy === true, lease: id, speaks: packages };
+  const leaseId = typeof lease === "number" || typeof lease === "string" ? lease : null;
+  const loaded = Array.isArray(speaks) ? speaks.filter((one) => typeof one === "string") : [];
+  return { run: String(run), shy: shy === true, lease: leaseId, speaks: loaded };
 }
 
 export const presenceRecord = ({ run, shy, lease, speaks }: Presence): object => ({
@@ -51,9 +52,9 @@
 });
 
 /**
- * Whether what the others see of a controller is what it said last. An earlier word without an answer may be
- * applied after a later one: of this run, or of the one before, and that one goes with its lease.
- * Then nobody gave it a part any more.
+ * Whether the presence record that others see is the one written last. An earlier write that was not
+ * answered may be applied after a later one. It can be of this run, or of the previous run, whose
+ * record disappears with its lease; in both cases no other controller would give this one a part.
  */
 export function matchesPublished(value: unknown, { run, lease, shy }: Presence): boolean {
   const seen = parsePresence(value);
--- a/src/membership/stability.ts
+++ b/src/membership/stability.ts
@@ -4,26 +4,26 @@
 import { requiredStableMs } from "./owner-ranking.js";
 import { type Presence, parsePresence } from "./presence.js";
 
-interface Known {
+interface PresenceHistory {
   run: string;
-  /** Since when it has been there in one piece and willing; infinity while it is not. */
-  since: number;
-  /** When runs of it began, of late, beyond the first that was seen. */
-  begun: number[];
+  /** Since when it has been present without a break and accepting parts; infinity while it is not. */
+  stableSince: number;
+  /** Start times of its recent runs, except the first run that was seen. */
+  restarts: number[];
 }
 
-/** How the other controllers have stood, by the presence that each of them shows. */
+/** Tracks how long the other controllers have been present, from their presence records. */
 export class ControllerStability {
-  readonly #known = new Map<string, Known>();
+  readonly #histories = new Map<string, PresenceHistory>();
 
   constructor(
     readonly mirror: Mirror,
     readonly clock: Clock,
-    /** How long one that has not ended lately has to have been there. */
-    readonly onceMs: number,
+    /** How long a controller without recent restarts must have been present. */
+    readonly baseMs: number,
   ) {
     mirror.on(keys.node(""), ({ key, value, deleted }) => {
-      this.#seen(key.slice(keys.node("").length), deleted ? null : parsePresence(value));
+      this.#presenceChanged(key.slice(keys.node("").length), deleted ? null : parsePresence(value));
     });
   }
 
@@ -32,26 +32,29 @@
     return row === undefined ? null : parsePresence(row.value);
   }
 
-  /** Whether parts may go back to a controller: it has been there for a while, and does not flap. */
+  /** Whether parts may be returned to a controller: it has been present for a while and does not flap. */
   isStable(name: string): boolean {
-    const known = this.#known.get(name);
-    if (known === undefined) return false;
-    return this.clock.now() - known.since > requiredStableMs(known.begun.length, this.onceMs);
+    const history = this.#histories.get(name);
+    if (history === undefined) return false;
+    return (
+      this.clock.now() - history.stableSince >
+      requiredStableMs(history.restarts.length, this.baseMs)
+    );
   }
 
-  #seen(name: string, presence: Presence | null): void {
+  #presenceChanged(name: string, presence: Presence | null): void {
     const now = this.clock.now();
-    const known = this.#known.get(name);
+    const history = this.#histories.get(name);
     if (presence === null) {
-      // The run is remembered: presence that comes back with it was only interrupted.
-      if (known !== undefined) known.since = Number.POSITIVE_INFINITY;
+      // The run is kept: if the presence returns with the same run, it was only interrupted.
+      if (history !== undefined) history.stableSince = Number.POSITIVE_INFINITY;
       return;
     }
-    const anew = known?.run !== presence.run;
-    const begun = (known?.begun ?? []).filter((at) => now - at < this.onceMs * 40);
-    if (anew && known !== undefined) begun.push(now);
-    const before = anew ? Number.POSITIVE_INFINITY : known!.since;
-    const since = presence.shy ? Number.POSITIVE_INFINITY : Math.min(before, now);
-    this.#known.set(name, { run: presence.run, since, begun });
+    const newRun = history?.run !== presence.run;
+    const restarts = (history?.restarts ?? []).filter((at) => now - at < this.baseMs * 40);
+    if (newRun && history !== undefined) restarts.push(now);
+    const previousSince = newRun ? Number.POSITIVE_INFINITY : history!.stableSince;
+    const stableSince = presence.shy ? Number.POSITIVE_INFINITY : Math.min(previousSince, now);
+    this.#histories.set(name, { run: presence.run, stableSince, restarts });
   }
 }
--- a/src/peer/frames.ts
+++ b/src/peer/frames.ts
@@ -1,7 +1,7 @@
 import type { CapacityRequest, Summary } from "../part/summary.js";
 
 /**
- * What controllers send each other, laid out by hand:
+ * Frames between controllers, in this binary layout:
  *
  *   u32 length of what follows | u8 kind | payload
  *
@@ -9,27 +9,30 @@
  */
 export const MAX_FRAME = 1024 * 1024;
 export const VERSION = 2;
-/** Says which version the sender speaks; another one ends the connection. */
+/** Tells the sender's protocol version; a different one ends the connection. */
 const KIND_HELLO = 1;
 const KIND_SUMMARY = 2;
-/** A summary with free room machine by machine; who does not know it reads the store's. */
-const KIND_ROOMS = 3;
-/** A summary with needs and progress of jobs with expressions, and free room if there is any. */
-const KIND_JOBS = 4;
-/** What controllers say about each other (`src/suspicion`); who does not know it leaves it out. */
+/** A summary with free resources by machine. A version that does not know it reads the store's summary. */
+const KIND_SUMMARY_FREE = 3;
+/** A summary with capacity requests and progress of jobs with expressions, and free resources if given. */
+const KIND_SUMMARY_JOBS = 4;
+/** Failure detection (`src/suspicion`); a version that does not know these kinds ignores them. */
 const KIND_BEAT = 5;
 const KIND_ASK = 6;
 const KIND_SAY = 7;
-/** That a job is cancelled; who does not know it hears of that by the watch. */
+/** A job is cancelled. A version that does not know it learns of the cancellation by the watch. */
 const KIND_CANCELLED = 8;
 
 export type Frame =
   | { kind: "hello"; version: number; node: string }
-  /** I am here. */
+  /** Heartbeat: the sender is running. */
   | { kind: "beat" }
-  /** What do you know of another? */
+  /** Asks what the receiver has observed of another controller. */
   | { kind: "ask"; about: string }
-  /** Since its last frame, milliseconds; machines that came from it; whether I am well myself. */
+  /**
+   * The answer: time since the other's last frame, milliseconds; whether its connection was closed;
+   * number of its machines that report to the sender; whether the sender is healthy enough to accuse.
+   */
   | {
       kind: "say";
       about: string;
@@ -38,7 +41,7 @@
       strays: number;
       fit: boolean;
     }
-  /** A user has called a job off: since this version of its header it is cancelled. */
+  /** A user has cancelled a job: it is cancelled from this version of its header on. */
   | { kind: "cancelled"; job: string; version: number }
   | { kind: "summary"; part: number; summary: Summary };
 
@@ -46,38 +49,38 @@
 
 class Writer {
   #buffer = Buffer.allocUnsafe(1024);
-  #at = 4;
+  #offset = 4;
 
-  #room(n: number): number {
-    const at = this.#at;
+  #reserve(n: number): number {
+    const at = this.#offset;
     if (at + n > this.#buffer.length) {
       const larger = Buffer.allocUnsafe(Math.max(at + n, this.#buffer.length * 2));
       this.#buffer.copy(larger, 0, 0, at);
       this.#buffer = larger;
     }
-    this.#at = at + n;
+    this.#offset = at + n;
     return at;
   }
 
   u8(value: number): void {
-    const at = this.#room(1);
+    const at = this.#reserve(1);
     this.#buffer.writeUInt8(value, at);
   }
 
   u32(value: number): void {
-    const at = this.#room(4);
+    const at = this.#reserve(4);
     this.#buffer.writeUInt32BE(value, at);
   }
 
   f64(value: number): void {
-    const at = this.#room(8);
+    const at = this.#reserve(8);
     this.#buffer.writeDoubleBE(value, at);
   }
 
   text(value: string): void {
     const size = Buffer.byteLength(value);
     if (size > 0xffff) throw new FrameError("text too long");
-    const at = this.#room(2 + size);
+    const at = this.#reserve(2 + size);
     this.#buffer.writeUInt16BE(size, at);
     this.#buffer.write(value, at + 2);
   }
@@ -88,46 +91,46 @@
   }
 
   finish(): Buffer {
-    this.#buffer.writeUInt32BE(this.#at - 4, 0);
-    return this.#buffer.subarray(0, this.#at);
+    this.#buffer.writeUInt32BE(this.#offset - 4, 0);
+    return this.#buffer.subarray(0, this.#offset);
   }
 }
 
 class Reader {
-  #at = 0;
+  #offset = 0;
 
   constructor(readonly buffer: Buffer) {}
 
-  #take(n: number): number {
-    const at = this.#at;
+  #advance(n: number): number {
+    const at = this.#offset;
     if (at + n > this.buffer.length) throw new FrameError("frame too short");
-    this.#at = at + n;
+    this.#offset = at + n;
     return at;
   }
 
   u8(): number {
-    return this.buffer.readUInt8(this.#take(1));
+    return this.buffer.readUInt8(this.#advance(1));
   }
 
   u32(): number {
-    return this.buffer.readUInt32BE(this.#take(4));
+    return this.buffer.readUInt32BE(this.#advance(4));
   }
 
   f64(): number {
-    const value = this.buffer.readDoubleBE(this.#take(8));
+    const value = this.buffer.readDoubleBE(this.#advance(8));
     if (!Number.isFinite(value)) throw new FrameError("not a finite number");
     return value;
   }
 
   text(): string {
-    const size = this.buffer.readUInt16BE(this.#take(2));
-    const at = this.#take(size);
+    const size = this.buffer.readUInt16BE(this.#advance(2));
+    const at = this.#advance(size);
     return this.buffer.toString("utf8", at, at + size);
   }
 
   list<T>(read: () => T): T[] {
     const count = this.u32();
-    // Every item takes a byte at least, so a made-up count cannot make us allocate much.
+    // An item takes at least one byte, so a forged count cannot cause a large allocation.
     if (count > this.buffer.length) throw new FrameError("list too long");
     const items: T[] = [];
     for (let i = 0; i < count; i++) items.push(read());
@@ -135,30 +138,30 @@
   }
 
   end(): void {
-    if (this.#at !== this.buffer.length) throw new FrameError("frame too long");
+    if (this.#offset !== this.buffer.length) throw new FrameError("frame too long");
   }
 }
 
-const CLOSED = 1;
-const FIT = 2;
+const FLAG_CLOSED = 1;
+const FLAG_FIT = 2;
 
-const SPOT = 1;
-const HAS_TYPES = 2;
-const HAS_ZONE = 4;
-const HAS_JOB = 8;
-/** A program that does not know it rents for that need as for any other. */
-const LENT = 16;
+const FLAG_SPOT = 1;
+const FLAG_HAS_TYPES = 2;
+const FLAG_HAS_ZONE = 4;
+const FLAG_HAS_JOB = 8;
+/** A version that does not know this flag treats the capacity request as any other. */
+const FLAG_LENT = 16;
 
-function writeNeed(out: Writer, need: CapacityRequest): void {
+function writeRequest(out: Writer, need: CapacityRequest): void {
   out.f64(need.cpus);
   out.f64(need.gpus);
   out.f64(need.memGb);
   out.u8(
-    (need.spot ? SPOT : 0) |
-      (need.types === null ? 0 : HAS_TYPES) |
-      (need.zone === null ? 0 : HAS_ZONE) |
-      (need.job === undefined ? 0 : HAS_JOB) |
-      (need.lent === true ? LENT : 0),
+    (need.spot ? FLAG_SPOT : 0) |
+      (need.types === null ? 0 : FLAG_HAS_TYPES) |
+      (need.zone === null ? 0 : FLAG_HAS_ZONE) |
+      (need.job === undefined ? 0 : FLAG_HAS_JOB) |
+      (need.lent === true ? FLAG_LENT : 0),
   );
   if (need.types !== null) out.list(need.types, (type) => out.text(type));
   if (need.zone !== null) out.text(need.zone);
@@ -166,27 +169,27 @@
   out.u32(need.count);
 }
 
-function readNeed(from: Reader): CapacityRequest {
+function readRequest(from: Reader): CapacityRequest {
   const cpus = from.f64();
   const gpus = from.f64();
   const memGb = from.f64();
   const flags = from.u8();
-  const types = (flags & HAS_TYPES) === 0 ? null : from.list(() => from.text());
-  const zone = (flags & HAS_ZONE) === 0 ? null : from.text();
-  const job = (flags & HAS_JOB) === 0 ? {} : { job: from.text() };
-  const lent = (flags & LENT) === 0 ? {} : { lent: true };
-  const spot = (flags & SPOT) !== 0;
+  const types = (flags & FLAG_HAS_TYPES) === 0 ? null : from.list(() => from.text());
+  const zone = (flags & FLAG_HAS_ZONE) === 0 ? null : from.text();
+  const job = (flags & FLAG_HAS_JOB) === 0 ? {} : { job: from.text() };
+  const lent = (flags & FLAG_LENT) === 0 ? {} : { lent: true };
+  const spot = (flags & FLAG_SPOT) !== 0;
   return { cpus, gpus, memGb, spot, types, zone, ...job, ...lent, count: from.u32() };
 }
 
-const writePairs = (out: Writer, pairs: Record<string, [number, number]>): void =>
+const writeAmountsByTeam = (out: Writer, pairs: Record<string, [number, number]>): void =>
   out.list(Object.entries(pairs), ([name, [cpus, gpus]]) => {
     out.text(name);
     out.f64(cpus);
     out.f64(gpus);
   });
 
-function readPairs(from: Reader): Record<string, [number, number]> {
+function readAmountsByTeam(from: Reader): Record<string, [number, number]> {
   const read = (): [string, [number, number]] => [from.text(), [from.f64(), from.f64()]];
   return Object.fromEntries(from.list(read));
 }
@@ -213,7 +216,7 @@
     out.text(frame.about);
     out.f64(frame.silentMs);
     out.u32(frame.strays);
-    out.u8((frame.closed ? CLOSED : 0) | (frame.fit ? FIT : 0));
+    out.u8((frame.closed ? FLAG_CLOSED : 0) | (frame.fit ? FLAG_FIT : 0));
     return out.finish();
   }
   if (frame.kind === "cancelled") {
@@ -223,9 +226,12 @@
     return out.finish();
   }
   const { part, summary } = frame;
-  // A kind that an older version does not know is left out there, and the store's is read.
-  const jobs = summary.progress !== undefined || summary.need.some(({ job }) => job !== undefined);
-  out.u8(jobs ? KIND_JOBS : summary.rooms === undefined ? KIND_SUMMARY : KIND_ROOMS);
+  // An older version ignores a kind that it does not know and reads the store's summary instead.
+  const hasJobs =
+    summary.progress !== undefined || summary.need.some(({ job }) => job !== undefined);
+  out.u8(
+    hasJobs ? KIND_SUMMARY_JOBS : summary.rooms === undefined ? KIND_SUMMARY : KIND_SUMMARY_FREE,
+  );
   out.u32(part);
   out.f64(summary.token);
   out.f64(summary.seq);
@@ -234,27 +240,27 @@
   out.list(summary.kinds, (kind) => {
     out.text(kind.type);
     out.text(kind.zone);
-    out.u8(kind.spot ? SPOT : 0);
+    out.u8(kind.spot ? FLAG_SPOT : 0);
     out.f64(kind.capacity);
     out.f64(kind.free);
     out.f64(kind.most);
   });
-  writePairs(out, summary.use);
+  writeAmountsByTeam(out, summary.use);
   out.list(summary.demand, ({ team, rank, cpus, gpus }) => {
     out.text(team);
     out.u8(rank);
     out.f64(cpus);
     out.f64(gpus);
   });
-  writePairs(out, summary.short);
-  out.list(summary.need, (need) => writeNeed(out, need));
+  writeAmountsByTeam(out, summary.short);
+  out.list(summary.need, (need) => writeRequest(out, need));
   out.list(summary.machines, (id) => out.text(id));
   out.list(summary.retired, (id) => out.text(id));
   out.list(Object.entries(summary.idle), ([id, seconds]) => {
     out.text(id);
     out.f64(seconds);
   });
-  if (jobs) {
+  if (hasJobs) {
     out.u8(summary.rooms === undefined ? 0 : 1);
     out.list(summary.progress ?? [], ([job, placed, done]) => {
       out.text(job);
@@ -299,7 +305,7 @@
   if (kind === KIND_SAY) {
     const [about, silentMs, strays, flags] = [from.text(), from.f64(), from.u32(), from.u8()];
     from.end();
-    const [closed, fit] = [(flags & CLOSED) !== 0, (flags & FIT) !== 0];
+    const [closed, fit] = [(flags & FLAG_CLOSED) !== 0, (flags & FLAG_FIT) !== 0];
     return { kind: "say", about, silentMs, strays, closed, fit };
   }
   if (kind === KIND_CANCELLED) {
@@ -307,7 +313,8 @@
     from.end();
     return cancelled;
   }
-  if (kind !== KIND_SUMMARY && kind !== KIND_ROOMS && kind !== KIND_JOBS) return null;
+  if (kind !== KIND_SUMMARY && kind !== KIND_SUMMARY_FREE && kind !== KIND_SUMMARY_JOBS)
+    return null;
   const part = from.u32();
   const token = from.f64();
   const seq = from.f64();
@@ -316,29 +323,30 @@
   const kinds = from.list(() => ({
     type: from.text(),
     zone: from.text(),
-    spot: (from.u8() & SPOT) !== 0,
+    spot: (from.u8() & FLAG_SPOT) !== 0,
     capacity: from.f64(),
     free: from.f64(),
     most: from.f64(),
   }));
-  const use = readPairs(from);
+  const use = readAmountsByTeam(from);
   const demand = from.list(() => ({
     team: from.text(),
     rank: from.u8(),
     cpus: from.f64(),
     gpus: from.f64(),
   }));
-  const short = readPairs(from);
-  const need = from.list(() => readNeed(from));
+  const short = readAmountsByTeam(from);
+  const need = from.list(() => readRequest(from));
   const machines = from.list(() => from.text());
   const retired = from.list(() => from.text());
   const idle = Object.fromEntries(from.list((): [string, number] => [from.text(), from.f64()]));
-  const rooms = kind === KIND_JOBS ? from.u8() === 1 : kind === KIND_ROOMS;
-  const told =
-    kind === KIND_JOBS
+  const hasFreeResources =
+    kind === KIND_SUMMARY_JOBS ? from.u8() === 1 : kind === KIND_SUMMARY_FREE;
+  const progress =
+    kind === KIND_SUMMARY_JOBS
       ? from.list((): [string, number, number] => [from.text(), from.u32(), from.u32()])
       : [];
-  const more = !rooms
+  const freeResources = !hasFreeResources
     ? {}
     : {
         starved: from.f64(),
@@ -355,8 +363,8 @@
     kind: "summary",
     part,
     summary: {
-      ...more,
-      ...(told.length === 0 ? {} : { progress: told }),
+      ...freeResources,
+      ...(progress.length === 0 ? {} : { progress }),
       token,
       seq,
       kinds,
@@ -373,19 +381,19 @@
   };
 }
 
-/** Cuts a stream of bytes into frames. */
+/** Splits a stream of bytes into frames, without their lengths. */
 export class FrameCutter {
-  #held: Buffer = Buffer.alloc(0);
+  #buffered: Buffer = Buffer.alloc(0);
 
   push(bytes: Buffer): Buffer[] {
-    this.#held = this.#held.length === 0 ? bytes : Buffer.concat([this.#held, bytes]);
+    this.#buffered = this.#buffered.length === 0 ? bytes : Buffer.concat([this.#buffered, bytes]);
     const frames: Buffer[] = [];
-    while (this.#held.length >= 4) {
-      const size = this.#held.readUInt32BE(0);
+    while (this.#buffered.length >= 4) {
+      const size = this.#buffered.readUInt32BE(0);
       if (size === 0 || size > MAX_FRAME) throw new FrameError(`frame of ${size} bytes`);
-      if (this.#held.length < 4 + size) break;
-      frames.push(this.#held.subarray(4, 4 + size));
-      this.#held = this.#held.subarray(4 + size);
+      if (this.#buffered.length < 4 + size) break;
+      frames.push(this.#buffered.subarray(4, 4 + size));
+      this.#buffered = this.#buffered.subarray(4 + size);
     }
     return frames;
   }
--- a/src/suspicion/accusations.ts
+++ b/src/suspicion/accusations.ts
@@ -1,93 +1,106 @@
 import type { Core } from "../extension/index.js";
 import { parsePresence } from "../membership/presence.js";
 import { keys } from "../state/keys.js";
-import { type Case, type Cluster, type Ground, type Peer, verdict } from "./failure-decisions.js";
-import type { Sensed } from "./peer-state.js";
+import {
+  type ClusterView,
+  decideVerdict,
+  type Ground,
+  type PeerView,
+  type VerdictInput,
+} from "./failure-decisions.js";
+import type { PeerState } from "./peer-state.js";
 import { type Accusation, parseAccusation } from "./records.js";
 import type { Timing } from "./settings.js";
 
-interface Standing {
+interface OpenAccusation {
   name: string;
   version: number;
   accusation: Accusation;
-  /** When this controller heard of it. */
-  at: number;
+  /** When this controller first saw the accusation. */
+  seenAt: number;
 }
 
-/** What the failure detector knows of a suspect. */
-export type Hearing = { peer: Peer; cluster: Cluster; well: number };
+/** What the failure detector knows of a suspect when a verdict is considered. */
+export type CaseEvidence = { peer: PeerView; cluster: ClusterView; reachableControllers: number };
 
 /**
- * Accusations, refutations and verdicts: all of them conditional writes of the store, the one place
- * that a suspect can be heard by whoever its other connections fail with. An accusation is a key
- * that only one may create; the suspect refutes by removing it, after a report that it has answered
- * since; a verdict writes the suspect's claims for its successors, on condition that the accusation
- * is still there, that the suspect's presence is the same, and of the claims' versions. So a
- * verdict and a refutation exclude each other, whoever is late.
+ * Accusations, refutations and verdicts: all of them conditional writes to the store, through which
+ * a suspect can answer even when its connections to other controllers fail. An accusation is a key
+ * that only one controller can create. The suspect refutes it by removing the key, once it has
+ * answered a report after the accusation. A verdict writes the suspect's claims for other
+ * controllers, on condition that the accusation still exists, that the suspect's presence record has
+ * not changed, and that the claims have their known versions. So a verdict and a refutation exclude
+ * each other, whichever is late.
  */
-export class Court {
+export class Accusations {
   /** By suspect. */
-  readonly #standing = new Map<string, Standing>();
-  #busy = false;
+  readonly #open = new Map<string, OpenAccusation>();
+  #writing = false;
   readonly counts = { accusations: 0, refuted: 0, verdicts: 0 };
 
   constructor(
     readonly core: Core,
     readonly timing: Timing,
-    readonly sensed: ReadonlyMap<string, Sensed>,
-    /** Something has come up that should not wait for long. */
-    readonly soon: () => void,
+    readonly peers: ReadonlyMap<string, PeerState>,
+    /** Asks the failure detector for a tick soon. */
+    readonly requestTick: () => void,
   ) {
     const prefix = keys.accusation("");
     core.mirror.on(prefix, ({ key, version, value, deleted }) => {
-      this.#heard(key.slice(prefix.length), version, deleted ? null : parseAccusation(value));
+      this.#accusationChanged(
+        key.slice(prefix.length),
+        version,
+        deleted ? null : parseAccusation(value),
+      );
     });
   }
 
-  /** Whether there is anything before it. */
-  get sits(): boolean {
-    return this.#standing.size > 0;
+  /** Whether any accusation exists, a verdict included. */
+  get hasOpen(): boolean {
+    return this.#open.size > 0;
   }
 
-  /** Whether an accusation stands, or a verdict was spoken of late. */
-  accused(name: string): boolean {
-    return this.#standing.has(name);
+  /** Whether an accusation against a controller exists, or a recent verdict. */
+  isAccused(name: string): boolean {
+    return this.#open.has(name);
   }
 
-  /** By whom it was judged, and for what; null when it was not. */
-  judged(name: string): string | null {
-    const one = this.#standing.get(name);
+  /** Accuser and ground of a verdict against a controller; null if there is none. */
+  verdictReason(name: string): string | null {
+    const one = this.#open.get(name);
     if (one === undefined || !one.accusation.judged) return null;
     return `judged by ${one.accusation.by}: ${one.accusation.ground}`;
   }
 
-  #heard(name: string, version: number, accusation: Accusation | null): void {
+  #accusationChanged(name: string, version: number, accusation: Accusation | null): void {
     const { clock, log, claims, settings } = this.core;
-    const known = this.#standing.get(name);
+    const known = this.#open.get(name);
     if (accusation === null) {
-      this.#standing.delete(name);
-      // Its accuser ended as well, or it was refuted: in both cases it is not accused at once again.
+      this.#open.delete(name);
+      // Refuted, or the accuser's lease has expired: in both cases it is not accused again at once.
       if (known !== undefined && !known.accusation.judged) {
-        this.sensed.get(name)?.refuted(clock.now());
+        this.peers.get(name)?.noteRefutation(clock.now());
       }
       return;
     }
-    this.#standing.set(name, { name, version, accusation, at: known?.at ?? clock.now() });
-    this.soon();
-    const mine = name === settings.node_name && accusation.run === claims.run;
-    if (!mine) return;
+    this.#open.set(name, { name, version, accusation, seenAt: known?.seenAt ?? clock.now() });
+    this.requestTick();
+    const againstThisRun = name === settings.node_name && accusation.run === claims.run;
+    if (!againstThisRun) return;
     log.warn(
       { by: accusation.by, ground: accusation.ground, judged: accusation.judged },
-      "accused",
+      "this controller is accused of having failed",
     );
     if (accusation.judged) {
-      // The others say that we do not serve: they are believed for a while, whatever it seems like here.
-      claims.relinquish(this.timing.leaseMs * 2, "judged by others").catch(() => undefined);
+      // After a verdict this controller declines parts for a while, even if it seems healthy locally.
+      claims
+        .relinquish(this.timing.leaseMs * 2, "verdict of other controllers")
+        .catch(() => undefined);
     }
   }
 
-  /** Brings a suspicion that others bear out before all. */
-  accuse({ name }: Sensed, ground: Ground, witnesses: string[]): void {
+  /** Writes an accusation of a suspicion that others have confirmed. */
+  accuse({ name }: PeerState, ground: Ground, witnesses: string[]): void {
     const { mirror, claims, settings } = this.core;
     const key = keys.accusation(name);
     const presence = mirror.rows.get(keys.node(name));
@@ -95,7 +108,7 @@
     const lease = claims.lease();
     if (presence === undefined || run === undefined || lease === null) return;
     const value: Accusation = { by: settings.node_name, run, ground, witnesses, judged: false };
-    this.#once(async () => {
+    this.#runExclusively(async () => {
       this.core.store.writes.force(1);
       const result = await this.core.store.transact(
         [
@@ -111,35 +124,38 @@
     });
   }
 
-  /** Looks at what stands: refutes, judges, or takes back what is settled. */
-  sit(now: number, hear: (name: string) => Hearing | null): void {
+  /** Processes all open accusations: refutes, writes verdicts, or removes those that are over. */
+  process(now: number, evidenceFor: (name: string) => CaseEvidence | null): void {
     const me = this.core.settings.node_name;
-    for (const one of this.#standing.values()) {
-      if (this.#busy) return;
-      if (one.name === me) this.#answer(one);
-      else if (one.accusation.by === me) this.#decide(one, now, hear(one.name));
+    for (const one of this.#open.values()) {
+      if (this.#writing) return;
+      if (one.name === me) this.#refuteIfServing(one);
+      else if (one.accusation.by === me) this.#considerVerdict(one, now, evidenceFor(one.name));
     }
   }
 
-  /** A refutation is proof of service: a report of each part answered since, under its own token. */
-  #answer(one: Standing): void {
+  /**
+   * Refutes an accusation of this controller once service is proved: a report answered since then,
+   * under its own token, in each of its parts that has machines.
+   */
+  #refuteIfServing(one: OpenAccusation): void {
     const { claims } = this.core;
     if (one.accusation.run !== claims.run) {
-      // About an earlier run of this controller, which has ended.
+      // It accuses an earlier run of this controller, which has ended.
       this.#remove(one, "refutation");
       return;
     }
     if (one.accusation.judged || !claims.valid()) return;
-    const proved = claims
+    const serviceProved = claims
       .served()
-      .every(({ machines, servedAt }) => machines === 0 || servedAt > one.at);
-    if (proved) this.#remove(one, "refutation");
+      .every(({ machines, servedAt }) => machines === 0 || servedAt > one.seenAt);
+    if (serviceProved) this.#remove(one, "refutation");
   }
 
-  #decide(one: Standing, now: number, hearing: Hearing | null): void {
+  #considerVerdict(one: OpenAccusation, now: number, evidence: CaseEvidence | null): void {
     const { name, accusation } = one;
     const presence = this.core.mirror.rows.get(keys.node(name));
-    const ageMs = now - one.at;
+    const ageMs = now - one.seenAt;
     if (presence === undefined || parsePresence(presence.value)?.run !== accusation.run) {
       this.#remove(one, "over");
       return;
@@ -148,43 +164,49 @@
       if (ageMs > this.timing.leaseMs) this.#remove(one, "over");
       return;
     }
-    if (hearing === null) return;
-    const { peer, cluster, well } = hearing;
-    const found: Case = { peer, ground: accusation.ground, ageMs, well };
-    const outcome = verdict(found, cluster, this.timing);
+    if (evidence === null) return;
+    const { peer, cluster, reachableControllers } = evidence;
+    const input: VerdictInput = { peer, ground: accusation.ground, ageMs, reachableControllers };
+    const outcome = decideVerdict(input, cluster, this.timing);
     if (!outcome.ok) {
-      this.core.log.debug({ controller: name, why: outcome.why }, "no verdict");
+      this.core.log.debug(
+        { controller: name, why: outcome.why },
+        "no verdict against the accused controller yet",
+      );
       return;
     }
-    this.#judge(one, presence.version, outcome.by);
+    this.#writeVerdict(one, presence.version, outcome.by);
   }
 
-  #judge(one: Standing, presence: number, witnesses: string[]): void {
+  #writeVerdict(one: OpenAccusation, presenceVersion: number, witnesses: string[]): void {
     const { claims, log } = this.core;
     const { name, accusation } = one;
     const key = keys.accusation(name);
     const lease = claims.lease();
     if (lease === null) return;
     const value: Accusation = { ...accusation, witnesses, judged: true };
-    this.#once(async () => {
-      const done = await claims.reassign(
+    this.#runExclusively(async () => {
+      const reassigned = await claims.reassign(
         name,
         accusation.run,
         [
           { key, version: one.version },
-          { key: keys.node(name), version: presence },
+          { key: keys.node(name), version: presenceVersion },
         ],
         [{ put: key, value, lease }],
       );
-      if (!done) return;
+      if (!reassigned) return;
       this.counts.verdicts++;
-      log.warn({ controller: name, ground: accusation.ground, witnesses }, "verdict");
+      log.warn(
+        { controller: name, ground: accusation.ground, witnesses },
+        "verdict written; claims of the controller reassigned",
+      );
     });
   }
 
-  #remove(one: Standing, why: "refutation" | "over"): void {
+  #remove(one: OpenAccusation, why: "refutation" | "over"): void {
     const key = keys.accusation(one.name);
-    this.#once(async () => {
+    this.#runExclusively(async () => {
       this.core.store.writes.force(1);
       const result = await this.core.store.transact(
         [{ key, version: one.version }],
@@ -199,14 +221,19 @@
     });
   }
 
-  /** One write at a time; what became of one that was not answered shows in the watched keys. */
-  #once(run: () => Promise<void>): void {
-    if (this.#busy) return;
-    this.#busy = true;
+  /** Runs one write at a time. Whether an unanswered write was applied is learned by the watch. */
+  #runExclusively(run: () => Promise<void>): void {
+    if (this.#writing) return;
+    this.#writing = true;
     run()
-      .catch((error) => this.core.log.debug({ why: String(error) }, "court"))
+      .catch((error) =>
+        this.core.log.debug(
+          { why: String(error) },
+          "accusation, refutation or verdict not confirmed",
+        ),
+      )
       .finally(() => {
-        this.#busy = false;
+        this.#writing = false;
       });
   }
 }
--- a/src/suspicion/failure-decisions.ts
+++ b/src/suspicion/failure-decisions.ts
@@ -1,163 +1,195 @@
-import { ailing, fitToAccuse, type Own } from "./local-health.js";
+import { canAccuse, type LocalHealth, localHealthScore } from "./local-health.js";
 import type { Timing } from "./settings.js";
 
 /**
- * What the controllers think of each other, as pure functions on plain data: the same for the
- * daemon, tests and simulation. Nothing here decides who owns what; that is a conditional write
- * (`accusations.ts`), and it breaks no rule whatever these functions say (`docs/design.md`).
+ * The decisions of the failure detector, as pure functions on plain data: the same in the daemon, in
+ * tests and in simulations. Nothing here decides who owns a part. That is a conditional write
+ * (`accusations.ts`), which keeps ownership exclusive whatever these functions return
+ * (`docs/design.md`).
  */
 
-/** Another controller, as one sees it. */
-export interface Peer {
+/** Another controller, as this one sees it. */
+export interface PeerView {
   name: string;
   zone: string;
-  /** Whether it shows its presence, and has this package: one that has not cannot refute. */
+  /** Whether its presence record exists. */
   present: boolean;
-  able: boolean;
-  /** Since its last frame, milliseconds; infinity when there never was one. */
+  /** Whether it also has this package loaded: without it, it cannot refute an accusation. */
+  canRefute: boolean;
+  /** Time since its last frame, milliseconds; infinity if there was none. */
   silentMs: number;
-  /** Silence that its intervals make unlikely (`Intervals.silence`); 0 while that is not known. */
-  unlikelyMs: number;
-  /** Its connection was closed from its side, and nothing came since. */
+  /** Silence that its frame intervals make unlikely (`FrameIntervals.silenceForPhi`); 0 while unknown. */
+  unlikelySilenceMs: number;
+  /** Its connection was closed from its side, and no frame has come since. */
   closed: boolean;
-  /** Machines in its parts, as it last said. */
+  /** Number of machines in its parts, by its last summaries. */
   machines: number;
-  /** Machines that followed it under its present token and came here of late. */
-  strays: number;
-  /** What others said of it since it was last asked about. */
-  testimonies: readonly Testimony[];
+  /** Machines that had its current fencing token and reported here recently. */
+  misroutedMachines: number;
+  /** What other controllers have recently answered when asked about it. */
+  observations: readonly PeerObservation[];
 }
 
-export interface Testimony {
+/** What a witness, another controller, has observed of a peer. */
+export interface PeerObservation {
   from: string;
   zone: string;
-  /** Since its last frame there. */
+  /** Time since its last frame reached the witness, milliseconds. */
   silentMs: number;
   closed: boolean;
-  strays: number;
-  /** Whether the witness trusts its own senses. */
-  fit: boolean;
-  /** Since it was said, milliseconds. */
+  misroutedMachines: number;
+  /** Whether the witness's own health allows it to accuse. */
+  witnessHealthy: boolean;
+  /** Time since the answer arrived, milliseconds. */
   ageMs: number;
 }
 
+/** Why a controller is suspected: connection closed, silent, or left by its workers. */
 export type Ground = "closed" | "silent" | "workers";
 
-export interface Cluster {
+export interface ClusterView {
   /** This controller's zone, and all zones that have controllers. */
   zone: string;
   zones: readonly string[];
-  /** All members, this one included. */
+  /** Number of all members, this one included. */
   size: number;
-  own: Own;
+  localHealth: LocalHealth;
 }
 
-/** Silence from which on one is suspected, given how well this controller is itself. */
-export function patienceMs(peer: Peer, points: number, timing: Timing): number {
-  const unlikely = Math.min(peer.unlikelyMs, timing.silenceMostMs);
-  const least = peer.closed ? timing.closedMs : Math.max(timing.silenceMs, unlikely);
-  return least * (1 + points);
+/** Silence from which on a peer is suspected, given this controller's own health score. */
+export function silenceTimeoutMs(peer: PeerView, healthScore: number, timing: Timing): number {
+  const unlikely = Math.min(peer.unlikelySilenceMs, timing.maxSilenceMs);
+  const least = peer.closed ? timing.closedSilenceMs : Math.max(timing.minSilenceMs, unlikely);
+  return least * (1 + healthScore);
 }
 
-/** Testimonies are asked for again and again while there is doubt; an older one is about the past. */
-const fresh = ({ ageMs }: Testimony, timing: Timing): boolean => ageMs < timing.beatMs * 3;
+/** Others are asked repeatedly while there is suspicion, so an older observation is out of date. */
+const isRecent = ({ ageMs }: PeerObservation, timing: Timing): boolean =>
+  ageMs < timing.heartbeatMs * 3;
 
-/** Machines that have to have come away for it to mean something, over all who were asked. */
-export const strayQuorum = (machines: number): number =>
+/** Number of machines, over all controllers asked, that must have left a peer for it to be a ground. */
+export const misroutedQuorum = (machines: number): number =>
   Math.max(Math.min(machines, 3), Math.ceil(machines / 2));
 
-/** How many machines came away, here and at those who have said so; one may be counted twice. */
-function straysOf({ strays, testimonies }: Peer, timing: Timing): number {
-  const said = testimonies.filter((one) => one.fit && fresh(one, timing));
-  return said.reduce((sum, one) => sum + one.strays, strays);
+/** Machines that left the peer, as seen here and by healthy witnesses; one may be counted twice. */
+function totalMisrouted({ misroutedMachines, observations }: PeerView, timing: Timing): number {
+  const usable = observations.filter((one) => one.witnessHealthy && isRecent(one, timing));
+  return usable.reduce((sum, one) => sum + one.misroutedMachines, misroutedMachines);
 }
 
-/** Whether so many have come here that, if it is the same elsewhere, it means something. */
-export const straysMatter = ({ strays, machines }: Peer, size: number): boolean =>
-  machines > 0 && strays > 0 && strays * (size - 1) >= strayQuorum(machines);
-
-/** Whether its machines have left it. */
-const left = (peer: Peer, timing: Timing): boolean =>
-  peer.machines > 0 && peer.strays > 0 && straysOf(peer, timing) >= strayQuorum(peer.machines);
-
-/** Why there is suspicion, by this controller's own senses; null for none. */
-export function suspicious(peer: Peer, cluster: Cluster, timing: Timing): Ground | null {
+/** Whether the quorum would be reached if as many machines had come to every other controller. */
+export const misroutedMayReachQuorum = (
+  { misroutedMachines, machines }: PeerView,
+  size: number,
+): boolean =>
+  machines > 0 &&
+  misroutedMachines > 0 &&
+  misroutedMachines * (size - 1) >= misroutedQuorum(machines);
+
+/** Whether enough of its machines have left it. */
+const machinesHaveLeft = (peer: PeerView, timing: Timing): boolean =>
+  peer.machines > 0 &&
+  peer.misroutedMachines > 0 &&
+  totalMisrouted(peer, timing) >= misroutedQuorum(peer.machines);
+
+/** Ground for suspicion by this controller's own observations; null if there is none. */
+export function suspicionGround(
+  peer: PeerView,
+  cluster: ClusterView,
+  timing: Timing,
+): Ground | null {
   if (!peer.present) return null;
-  const points = ailing(cluster.own, timing);
-  if (!fitToAccuse(points)) return null;
-  // Frames may come all the same: it renews and talks, but does not serve.
-  if (left(peer, timing)) return "workers";
-  if (peer.silentMs < patienceMs(peer, points, timing)) return null;
+  const healthScore = localHealthScore(cluster.localHealth, timing);
+  if (!canAccuse(healthScore)) return null;
+  // Checked before silence: it may renew its lease and send frames although it does not serve.
+  if (machinesHaveLeft(peer, timing)) return "workers";
+  if (peer.silentMs < silenceTimeoutMs(peer, healthScore, timing)) return null;
   return peer.closed ? "closed" : "silent";
 }
 
 /**
- * Whether others bear out what this controller senses. Peers that refuse me are no evidence of
- * anything: nobody who still hears the suspect may be among those who answered, and at least one
- * must have answered who does not. Where there is more than one zone, one witness must be outside
- * mine: the suspect's own machines, which come to me, are in its zone.
+ * Whether other controllers confirm this controller's suspicion. Controllers that do not answer are
+ * no evidence. Of those that answered, none may still hear the suspect, and at least one must not
+ * hear it. If there are several zones, one witness must be outside this controller's zone; machines
+ * of the suspect that report here count as a witness in the suspect's zone.
  */
-export function borneOut(
-  peer: Peer,
+export function corroboration(
+  peer: PeerView,
   ground: Ground,
-  cluster: Cluster,
+  cluster: ClusterView,
   timing: Timing,
 ): { ok: true; by: string[] } | { ok: false; why: string } {
-  const heard = peer.testimonies.filter((one) => one.fit && fresh(one, timing));
-  // One who is well says something once a beat. Where both have seen its connection closed, less will do.
-  const silent = ({ silentMs, closed }: Testimony): boolean =>
-    silentMs >= timing.beatMs * (closed && ground === "closed" ? 0.5 : 1.5);
-  const hears = heard.find((one) => !silent(one));
-  if (ground !== "workers" && hears !== undefined) {
-    return { ok: false, why: `${hears.from} hears it` };
+  const usable = peer.observations.filter((one) => one.witnessHealthy && isRecent(one, timing));
+  // A healthy controller sends a frame every heartbeat interval. If both have seen its connection
+  // closed, a shorter silence is enough.
+  const silent = ({ silentMs, closed }: PeerObservation): boolean =>
+    silentMs >= timing.heartbeatMs * (closed && ground === "closed" ? 0.5 : 1.5);
+  const hearing = usable.find((one) => !silent(one));
+  if (ground !== "workers" && hearing !== undefined) {
+    return { ok: false, why: `${hearing.from} still receives its frames` };
   }
-  const agreeing = heard.filter((one) => (ground === "workers" ? one.strays > 0 : silent(one)));
+  const agreeing = usable.filter((one) =>
+    ground === "workers" ? one.misroutedMachines > 0 : silent(one),
+  );
   const zones = new Set([cluster.zone, ...agreeing.map(({ zone }) => zone)]);
-  if (peer.strays > 0) zones.add(peer.zone);
-  // Machines that followed it, came here and are no faults of this controller's are witnesses enough:
-  // they try the controllers in turn, so it may be that they all come to one.
-  const machines = ground === "workers" && peer.strays >= strayQuorum(peer.machines);
-  if (agreeing.length === 0 && !machines) return { ok: false, why: "nobody else says so" };
+  if (peer.misroutedMachines > 0) zones.add(peer.zone);
+  // A quorum of the suspect's machines reporting here is enough without another controller: this
+  // controller cannot have caused that, and all of them may come to one controller, because they try
+  // the controllers in turn.
+  const machinesConfirm =
+    ground === "workers" && peer.misroutedMachines >= misroutedQuorum(peer.machines);
+  if (agreeing.length === 0 && !machinesConfirm)
+    return { ok: false, why: "no other controller confirms it" };
   const zonesNeeded = Math.min(2, cluster.zones.length);
   if (zones.size < zonesNeeded) return { ok: false, why: "all witnesses are in one zone" };
-  return { ok: true, by: [...agreeing.map(({ from }) => from), ...(machines ? ["machines"] : [])] };
+  return {
+    ok: true,
+    by: [...agreeing.map(({ from }) => from), ...(machinesConfirm ? ["machines"] : [])],
+  };
 }
 
-/** A standing accusation, as the accuser sees it when it might become a verdict. */
-export interface Case {
-  peer: Peer;
+/** An open accusation, as the accuser sees it when it decides on a verdict. */
+export interface VerdictInput {
+  peer: PeerView;
   ground: Ground;
   ageMs: number;
-  /** Members that this controller hears, itself included. */
-  well: number;
+  /** Number of members that this controller hears, itself included. */
+  reachableControllers: number;
 }
 
 /**
- * How long a suspect has: half when its connections were closed as well, which a process that is
- * there and not well does not do; longer when it has so few machines that proof of service is rare.
+ * How long a suspect has to refute. Half if its connections were closed as well, which a running but
+ * impaired process does not do; longer if it has so few machines that reports, its proof of service,
+ * are rare.
  */
-export function refuteMs(machines: number, ground: Ground, timing: Timing): number {
+export function refutationTimeMs(machines: number, ground: Ground, timing: Timing): number {
   const share = ground === "closed" ? 1 / 2 : 1;
-  // Half of its machines have left it already: what is left would be no proof of much.
-  const enough = ground === "workers" ? 2 : 4;
-  const rare = machines === 0 ? 0 : timing.reportMs * 1.25 * Math.min(1, enough / machines);
-  return share * Math.max(timing.refuteMs, rare);
+  // Half of its machines have left it already: reports of the others would prove little.
+  const frequentFrom = ground === "workers" ? 2 : 4;
+  const rareReportMs =
+    machines === 0 ? 0 : timing.reportIntervalMs * 1.25 * Math.min(1, frequentFrom / machines);
+  return share * Math.max(timing.minRefutationMs, rareReportMs);
 }
 
-/** Whether a case is a verdict now, and if not, why. */
-export function verdict(
-  { peer, ground, ageMs, well }: Case,
-  cluster: Cluster,
+/** Whether an accusation may become a verdict now, and if not, why. */
+export function decideVerdict(
+  { peer, ground, ageMs, reachableControllers }: VerdictInput,
+  cluster: ClusterView,
   timing: Timing,
 ): { ok: true; by: string[] } | { ok: false; why: string } {
-  const no = (why: string) => ({ ok: false as const, why });
-  if (!timing.verdicts) return no("verdicts are switched off");
-  if (ailing(cluster.own, timing) > 0) return no("this controller is not well itself");
-  if (ageMs < refuteMs(peer.machines, ground, timing)) return no("it still has time to refute");
-  // It is likelier that I am the one cut off than that half of all others have failed.
-  if (well * 2 <= cluster.size) return no(`only ${well} of ${cluster.size} are heard`);
-  const still =
-    ground === "workers" ? left(peer, timing) : peer.silentMs >= Math.max(ageMs, timing.closedMs);
-  if (!still) return no("it has been heard since");
-  return borneOut(peer, ground, cluster, timing);
+  const refuse = (why: string) => ({ ok: false as const, why });
+  if (!timing.verdictsEnabled) return refuse("verdicts are switched off");
+  if (localHealthScore(cluster.localHealth, timing) > 0)
+    return refuse("this controller is impaired itself");
+  if (ageMs < refutationTimeMs(peer.machines, ground, timing))
+    return refuse("time to refute has not passed");
+  // That this controller is cut off is more likely than that half of all others have failed.
+  if (reachableControllers * 2 <= cluster.size)
+    return refuse(`only ${reachableControllers} of ${cluster.size} controllers are heard`);
+  const groundHolds =
+    ground === "workers"
+      ? machinesHaveLeft(peer, timing)
+      : peer.silentMs >= Math.max(ageMs, timing.closedSilenceMs);
+  if (!groundHolds) return refuse("the ground for suspicion no longer holds");
+  return corroboration(peer, ground, cluster, timing);
 }
--- a/src/suspicion/failure-detector.ts
+++ b/src/suspicion/failure-detector.ts
@@ -6,92 +6,98 @@
 import { keys } from "../state/keys.js";
 import { fencingTokenOf } from "../state/restore-state.js";
 import type { ReportPosition } from "../workers/report-classification.js";
-import { Court } from "./accusations.js";
+import { Accusations } from "./accusations.js";
 import {
-  borneOut,
-  type Cluster,
-  type Peer,
-  patienceMs,
-  straysMatter,
-  suspicious,
+  type ClusterView,
+  corroboration,
+  misroutedMayReachQuorum,
+  type PeerView,
+  silenceTimeoutMs,
+  suspicionGround,
 } from "./failure-decisions.js";
-import { ailing, fitToAccuse, Lateness, type Own } from "./local-health.js";
-import { Sensed } from "./peer-state.js";
+import { canAccuse, type LocalHealth, localHealthScore, WorstTimerDelay } from "./local-health.js";
+import { PeerState } from "./peer-state.js";
 import type { Timing } from "./settings.js";
 
-/** A silence that is said of somebody who was never heard. */
-const LONG_MS = 1e9;
+/** Silence that is reported of a controller that was never heard. */
+const NEVER_HEARD_SILENCE_MS = 1e9;
 
 /**
- * Watches the other controllers: takes in what is sensed, asks others about it, and brings it
- * before the court. Owns what it has sensed; everything that counts is a record of the store.
+ * Watches the other controllers: collects observations of them, asks other controllers about
+ * suspects, and writes accusations (`Accusations`). The observations are kept only in memory; every
+ * decision that takes effect is a record in the store.
  */
 export class FailureDetector {
-  readonly #sensed = new Map<string, Sensed>();
-  /** The run of each that was seen last. */
-  readonly #runs = new Map<string, string>();
-  readonly #lateness: Lateness;
-  readonly #court: Court;
+  readonly #peers = new Map<string, PeerState>();
+  /** By controller, the run that its presence record last showed. */
+  readonly #lastRuns = new Map<string, string>();
+  readonly #timerDelay: WorstTimerDelay;
+  readonly #accusations: Accusations;
   readonly #zones: readonly string[];
-  readonly #me: string;
-  #own: Own = { lateMs: 0, contactMs: 0, valid: false, answers: true };
-  #dueAt = 0;
+  readonly #nodeName: string;
+  #localHealth: LocalHealth = {
+    timerDelayMs: 0,
+    storeContactAgeMs: 0,
+    leaseValid: false,
+    answersReports: true,
+  };
+  #nextTickAt = 0;
   #timer: Timer | null = null;
-  #asked = 0;
+  #queryCount = 0;
   #stopped = false;
   readonly counts = { suspected: 0, frames: 0 };
 
   constructor(
     readonly core: Core,
     readonly timing: Timing,
-    /** Whether another can answer for itself: it has this package. */
-    readonly able: (name: string) => boolean,
+    /** Whether another controller has this package, so that it can refute an accusation. */
+    readonly hasPackage: (name: string) => boolean,
   ) {
-    this.#me = core.settings.node_name;
+    this.#nodeName = core.settings.node_name;
     for (const { name, zone } of core.layout.members) {
-      if (name !== this.#me) this.#sensed.set(name, new Sensed(name, zone, timing));
+      if (name !== this.#nodeName) this.#peers.set(name, new PeerState(name, zone, timing));
     }
     this.#zones = [...new Set(core.layout.members.map(({ zone }) => zone))];
-    this.#lateness = new Lateness(timing.refuteMs * 2);
-    this.#court = new Court(core, timing, this.#sensed, () => this.#soon());
+    this.#timerDelay = new WorstTimerDelay(timing.minRefutationMs * 2);
+    this.#accusations = new Accusations(core, timing, this.#peers, () => this.#tickSoon());
     core.mirror.on(keys.node(""), ({ key, value, deleted }) => {
       const name = key.slice(keys.node("").length);
       const run = deleted ? null : (parsePresence(value)?.run ?? null);
-      if (run === null || run === this.#runs.get(name)) return;
-      this.#runs.set(name, run);
-      this.#sensed.get(name)?.anew(core.clock.now());
+      if (run === null || run === this.#lastRuns.get(name)) return;
+      this.#lastRuns.set(name, run);
+      this.#peers.get(name)?.resetForNewRun(core.clock.now());
     });
   }
 
   get attachment(): Attachment {
     return {
-      start: () => this.#begin(),
+      start: () => this.#start(),
       stop: () => {
         this.#stopped = true;
       },
-      onFrame: (from, frame) => this.#hear(from, frame),
+      onFrame: (from, frame) => this.#receive(from, frame),
       onPeerClosed: (from) => {
-        const peer = this.#sensed.get(from);
+        const peer = this.#peers.get(from);
         if (peer !== undefined) peer.closed = true;
-        this.#soon();
+        this.#tickSoon();
       },
-      onMisroutedReport: (...args) => this.#strayed(...args),
-      isSuspected: (name) => this.doubts(name),
+      onMisroutedReport: (...args) => this.#receiveMisroutedReport(...args),
+      isSuspected: (name) => this.isSuspected(name),
       status: () => ({ controllers: this.status() }),
       metrics: () => this.metrics(),
     };
   }
 
-  /** Whether nothing new should be given to another. */
-  doubts(name: string): boolean {
-    const peer = this.#sensed.get(name);
-    return peer !== undefined && (peer.ground !== null || this.#court.accused(name));
+  /** Whether a controller is suspected or accused, so that it is given nothing new. */
+  isSuspected(name: string): boolean {
+    const peer = this.#peers.get(name);
+    return peer !== undefined && (peer.ground !== null || this.#accusations.isAccused(name));
   }
 
-  #begin(): void {
+  #start(): void {
     const now = this.core.clock.now();
-    this.#dueAt = now;
-    for (const peer of this.#sensed.values()) peer.anew(now);
+    this.#nextTickAt = now;
+    for (const peer of this.#peers.values()) peer.resetForNewRun(now);
     this.#tick();
   }
 
@@ -99,154 +105,177 @@
     if (this.#stopped) return;
     const { clock, peers } = this.core;
     const now = clock.now();
-    this.#lateness.note(now, Math.max(0, now - this.#dueAt));
-    this.#own = this.#look(now);
-    if (now - peers.sentAt() > this.timing.beatMs * 0.75) {
-      this.counts.frames += this.#sensed.size;
+    this.#timerDelay.record(now, Math.max(0, now - this.#nextTickAt));
+    this.#localHealth = this.#measureLocalHealth(now);
+    if (now - peers.sentAt() > this.timing.heartbeatMs * 0.75) {
+      this.counts.frames += this.#peers.size;
       peers.broadcast({ kind: "beat" });
     }
-    for (const peer of this.#sensed.values()) this.#consider(peer, now);
-    this.#court.sit(now, (name) => this.#caseOf(name, now));
-    // On a quiet day one tick a beat, when the next beat is due: four times as many took a tenth
-    // more processor time of a controller's whole day. While there is doubt, steps follow by ticks.
-    const doubt =
-      this.#court.sits ||
-      [...this.#sensed.values()].some(({ state, closed }) => closed || state !== "well");
-    const quietMs = peers.sentAt() + this.timing.beatMs * 0.9 - now;
-    this.#again(doubt ? 0 : quietMs);
+    for (const peer of this.#peers.values()) this.#evaluate(peer, now);
+    this.#accusations.process(now, (name) => this.#evidenceFor(name, now));
+    // Without any suspicion, one tick per heartbeat interval, when the next heartbeat is due: four
+    // times as many took a tenth more of a controller's processor time over a simulated day. While
+    // there is suspicion, ticks follow each other four times as fast.
+    const anySuspicion =
+      this.#accusations.hasOpen ||
+      [...this.#peers.values()].some(({ status: state, closed }) => closed || state !== "well");
+    const untilHeartbeatMs = peers.sentAt() + this.timing.heartbeatMs * 0.9 - now;
+    this.#scheduleTick(anySuspicion ? 0 : untilHeartbeatMs);
   }
 
-  #again(inMs: number): void {
+  #scheduleTick(delayMs: number): void {
     const { clock } = this.core;
-    const everyMs = Math.max(inMs, this.timing.beatMs / 4);
+    const tickMs = Math.max(delayMs, this.timing.heartbeatMs / 4);
     this.#timer?.cancel();
-    this.#dueAt = clock.now() + everyMs;
-    this.#timer = clock.after(everyMs, () => this.#tick());
+    this.#nextTickAt = clock.now() + tickMs;
+    this.#timer = clock.after(tickMs, () => this.#tick());
   }
 
-  /** Something has happened that a tick should see soon. */
-  #soon(): void {
-    if (!this.#stopped && this.#dueAt - this.core.clock.now() > this.timing.beatMs / 4)
-      this.#again(0);
+  /** Moves the next tick forward after an event that should be processed soon. */
+  #tickSoon(): void {
+    if (!this.#stopped && this.#nextTickAt - this.core.clock.now() > this.timing.heartbeatMs / 4)
+      this.#scheduleTick(0);
   }
 
-  #look(now: number): Own {
+  #measureLocalHealth(now: number): LocalHealth {
     const { claims, staleness } = this.core;
-    const patience = this.timing.reportMs * 1.5;
+    const maxAgeMs = this.timing.reportIntervalMs * 1.5;
     const answers = claims
       .served()
-      .every(({ machines, servedAt }) => machines === 0 || now - servedAt < patience);
-    const lateMs = this.#lateness.worst();
-    return { lateMs, contactMs: staleness(), valid: claims.valid(), answers };
+      .every(({ machines, servedAt }) => machines === 0 || now - servedAt < maxAgeMs);
+    const lateMs = this.#timerDelay.worst();
+    return {
+      timerDelayMs: lateMs,
+      storeContactAgeMs: staleness(),
+      leaseValid: claims.valid(),
+      answersReports: answers,
+    };
   }
 
-  #cluster(): Cluster {
+  #clusterView(): ClusterView {
     const { layout, settings } = this.core;
-    return { zone: settings.site, zones: this.#zones, size: layout.members.length, own: this.#own };
+    return {
+      zone: settings.site,
+      zones: this.#zones,
+      size: layout.members.length,
+      localHealth: this.#localHealth,
+    };
   }
 
-  #peer(sensed: Sensed, now: number): Peer {
+  #peerView(peerState: PeerState, now: number): PeerView {
     const { mirror, layout, summaries } = this.core;
-    const presence = parsePresence(mirror.rows.get(keys.node(sensed.name))?.value);
+    const presence = parsePresence(mirror.rows.get(keys.node(peerState.name))?.value);
     let machines = 0;
     for (let part = 0; part < layout.parts; part++) {
-      if (this.core.claims.ownerOf(part) !== sensed.name) continue;
+      if (this.core.claims.ownerOf(part) !== peerState.name) continue;
       machines += summaries.of(part)?.machines.length ?? 0;
     }
     return {
-      name: sensed.name,
-      zone: sensed.zone,
+      name: peerState.name,
+      zone: peerState.zone,
       present: presence !== null,
-      able: presence !== null && this.able(sensed.name),
-      silentMs: now - sensed.heardAt,
-      unlikelyMs: sensed.intervals.silence(this.timing.phi),
-      closed: sensed.closed,
+      canRefute: presence !== null && this.hasPackage(peerState.name),
+      silentMs: now - peerState.lastFrameAt,
+      unlikelySilenceMs: peerState.intervals.silenceForPhi(this.timing.phi),
+      closed: peerState.closed,
       machines,
-      strays: sensed.strays(now),
-      testimonies: sensed.testimonies(now),
+      misroutedMachines: peerState.misroutedMachines(now),
+      observations: peerState.observations(now),
     };
   }
 
-  /** What is to be thought of one, whom to ask about it, and whether to accuse it. */
-  #consider(sensed: Sensed, now: number): void {
+  /** Updates the status of a controller, asks others about it if needed, and accuses it if confirmed. */
+  #evaluate(peerState: PeerState, now: number): void {
     const { timing } = this;
-    // Most of the time, of most of them, nothing but this has to be known.
-    const quick = now - sensed.heardAt < timing.beatMs * 1.5 && sensed.strays(now) === 0;
-    const accused = this.#court.accused(sensed.name);
-    if (quick && !accused && sensed.state === "well") return;
-    const peer = this.#peer(sensed, now);
-    const cluster = this.#cluster();
-    const ground = suspicious(peer, cluster, timing);
-    if (ground === null) sensed.groundAt = Number.POSITIVE_INFINITY;
-    else sensed.groundAt = Math.min(sensed.groundAt, now);
-    sensed.ground = ground;
-    this.#enter(sensed, peer, now);
-    const points = ailing(this.#own, timing);
-    const nearly = peer.silentMs > patienceMs(peer, points, timing) * 0.6;
-    const soon = peer.present && (nearly || straysMatter(peer, cluster.size));
-    if ((ground !== null || soon || accused) && fitToAccuse(points)) this.#ask(sensed, now);
-    if (ground === null || accused || !peer.able || now < sensed.notBefore) return;
-    // One speaks for all: the others wait a little for whom everybody would choose.
-    if (now - sensed.groundAt < this.#rank(sensed.name, now) * (timing.beatMs / 4)) return;
-    const borne = borneOut(peer, ground, cluster, timing);
-    if (borne.ok) this.#court.accuse(sensed, ground, borne.by);
+    // The usual case, checked cheaply: heard recently, and no machine has left it.
+    const seemsHealthy =
+      now - peerState.lastFrameAt < timing.heartbeatMs * 1.5 &&
+      peerState.misroutedMachines(now) === 0;
+    const accused = this.#accusations.isAccused(peerState.name);
+    if (seemsHealthy && !accused && peerState.status === "well") return;
+    const peer = this.#peerView(peerState, now);
+    const cluster = this.#clusterView();
+    const ground = suspicionGround(peer, cluster, timing);
+    if (ground === null) peerState.groundSince = Number.POSITIVE_INFINITY;
+    else peerState.groundSince = Math.min(peerState.groundSince, now);
+    peerState.ground = ground;
+    this.#updateStatus(peerState, peer, now);
+    const healthScore = localHealthScore(this.#localHealth, timing);
+    const nearTimeout = peer.silentMs > silenceTimeoutMs(peer, healthScore, timing) * 0.6;
+    const mayBecomeSuspect =
+      peer.present && (nearTimeout || misroutedMayReachQuorum(peer, cluster.size));
+    if ((ground !== null || mayBecomeSuspect || accused) && canAccuse(healthScore))
+      this.#queryOthers(peerState, now);
+    if (ground === null || accused || !peer.canRefute || now < peerState.accusableFrom) return;
+    // One accuser is enough: each controller waits according to its rank, the same on all controllers.
+    if (
+      now - peerState.groundSince <
+      this.#accuserRank(peerState.name, now) * (timing.heartbeatMs / 4)
+    )
+      return;
+    const confirmation = corroboration(peer, ground, cluster, timing);
+    if (confirmation.ok) this.#accusations.accuse(peerState, ground, confirmation.by);
   }
 
-  #enter(sensed: Sensed, peer: Peer, now: number): void {
+  #updateStatus(peerState: PeerState, peer: PeerView, now: number): void {
     const { timing } = this;
-    const judged = this.#court.judged(sensed.name);
-    const slowMs = Math.max(timing.beatMs * 2, timing.silenceMs / 2);
-    const news = ((): boolean => {
-      if (judged) return sensed.enter("failed", judged, now);
-      if (sensed.ground !== null) {
+    const verdictReason = this.#accusations.verdictReason(peerState.name);
+    const slowMs = Math.max(timing.heartbeatMs * 2, timing.minSilenceMs / 2);
+    const changed = ((): boolean => {
+      if (verdictReason) return peerState.transitionTo("failed", verdictReason, now);
+      if (peerState.ground !== null) {
         const why =
-          sensed.ground === "workers"
-            ? `${peer.strays} of ${peer.machines} machines came from it`
-            : `${sensed.ground}, nothing heard for ${Math.round(peer.silentMs)} ms`;
-        return sensed.enter("suspected", why, now);
+          peerState.ground === "workers"
+            ? `${peer.misroutedMachines} of ${peer.machines} machines came from it`
+            : `${peerState.ground}, nothing heard for ${Math.round(peer.silentMs)} ms`;
+        return peerState.transitionTo("suspected", why, now);
       }
-      if (!peer.present) return sensed.enter("absent", "its lease has ended", now);
-      if (now - sensed.refutedAt < timing.leaseMs) {
-        return sensed.enter("refuted", "it proved that it serves", now);
+      if (!peer.present) return peerState.transitionTo("absent", "its lease has ended", now);
+      if (now - peerState.refutedAt < timing.leaseMs) {
+        return peerState.transitionTo("refuted", "it proved that it serves", now);
       }
       if (peer.silentMs > slowMs) {
-        return sensed.enter("slow", `nothing heard for ${Math.round(peer.silentMs)} ms`, now);
+        return peerState.transitionTo(
+          "slow",
+          `nothing heard for ${Math.round(peer.silentMs)} ms`,
+          now,
+        );
       }
-      return sensed.enter("well", "", now);
+      return peerState.transitionTo("well", "", now);
     })();
-    if (!news) return;
-    const { name, state, why } = sensed;
+    if (!changed) return;
+    const { name, status: state, why } = peerState;
     if (state === "suspected") this.counts.suspected++;
     const level = state === "suspected" || state === "failed" ? "warn" : "debug";
     this.core.log[level]({ controller: name, state, why }, "controller judged");
   }
 
-  /** The place of this controller among those who would accuse another, the same for everybody. */
-  #rank(name: string, now: number): number {
-    const mine = hash(`${name}/${this.#me}`);
+  /** Rank of this controller among the possible accusers of another, by a hash known to all. */
+  #accuserRank(name: string, now: number): number {
+    const ownHash = hash(`${name}/${this.#nodeName}`);
     let rank = 0;
-    for (const other of this.#sensed.values()) {
-      if (other.name === name || now - other.heardAt > this.timing.silenceMs) continue;
-      if (hash(`${name}/${other.name}`) < mine) rank++;
+    for (const other of this.#peers.values()) {
+      if (other.name === name || now - other.lastFrameAt > this.timing.minSilenceMs) continue;
+      if (hash(`${name}/${other.name}`) < ownHash) rank++;
     }
     return rank;
   }
 
-  /** Asks two others, in the suspect's zone first, others each time. */
-  #ask(sensed: Sensed, now: number): void {
-    const { name, zone } = sensed;
-    // What nobody has borne out for long is asked about less and less often.
-    const lasting = Math.max(0, now - sensed.groundAt);
-    const every = Number.isFinite(lasting) ? lasting / 8 : 0;
-    if (now - sensed.askedAt < Math.max(every, this.timing.beatMs / 4)) return;
-    sensed.askedAt = now;
-    const others = [...this.#sensed.values()].filter((other) => other.name !== name);
+  /** Asks up to three others in turn: one in the suspect's zone, one in another zone, and any other. */
+  #queryOthers(peerState: PeerState, now: number): void {
+    const { name, zone } = peerState;
+    // The longer a suspicion has not been confirmed, the less often others are asked about it.
+    const suspectedMs = Math.max(0, now - peerState.groundSince);
+    const intervalMs = Number.isFinite(suspectedMs) ? suspectedMs / 8 : 0;
+    if (now - peerState.lastQueryAt < Math.max(intervalMs, this.timing.heartbeatMs / 4)) return;
+    peerState.lastQueryAt = now;
+    const others = [...this.#peers.values()].filter((other) => other.name !== name);
     if (others.length === 0) return;
-    const there = others.filter((other) => other.zone === zone);
-    const elsewhere = others.filter((other) => other.zone !== zone);
-    const n = this.#asked++;
+    const sameZone = others.filter((other) => other.zone === zone);
+    const otherZones = others.filter((other) => other.zone !== zone);
+    const turn = this.#queryCount++;
     const chosen = new Set(
-      [there, elsewhere, others].flatMap((list) => list[n % Math.max(1, list.length)] ?? []),
+      [sameZone, otherZones, others].flatMap((list) => list[turn % Math.max(1, list.length)] ?? []),
     );
     for (const other of [...chosen].slice(0, 3)) {
       this.counts.frames++;
@@ -254,60 +283,80 @@
     }
   }
 
-  #hear(from: string, frame: Frame): void {
-    const peer = this.#sensed.get(from);
+  #receive(from: string, frame: Frame): void {
+    const peer = this.#peers.get(from);
     if (peer === undefined) return;
     const now = this.core.clock.now();
-    peer.heard(now);
+    peer.noteFrame(now);
     if (frame.kind === "ask") {
-      const about = this.#sensed.get(frame.about);
+      const about = this.#peers.get(frame.about);
       if (about === undefined) return;
       const fit =
-        fitToAccuse(ailing(this.#own, this.timing)) && now - this.#dueAt < this.timing.beatMs;
-      const silentMs = Math.min(LONG_MS, now - about.heardAt);
+        canAccuse(localHealthScore(this.#localHealth, this.timing)) &&
+        now - this.#nextTickAt < this.timing.heartbeatMs;
+      const silentMs = Math.min(NEVER_HEARD_SILENCE_MS, now - about.lastFrameAt);
       const { closed } = about;
-      const say: Frame = {
+      const answer: Frame = {
         kind: "say",
         about: about.name,
         silentMs,
         closed,
-        strays: about.strays(now),
+        strays: about.misroutedMachines(now),
         fit,
       };
       this.counts.frames++;
-      this.core.peers.send(from, say);
+      this.core.peers.send(from, answer);
     } else if (frame.kind === "say") {
-      const { silentMs, closed, strays, fit } = frame;
-      const said = { zone: peer.zone, silentMs, closed, strays, fit, at: now };
-      this.#sensed.get(frame.about)?.said(from, said);
+      const { silentMs, closed, strays: misroutedMachines, fit: witnessHealthy } = frame;
+      const observation = {
+        zone: peer.zone,
+        silentMs,
+        closed,
+        misroutedMachines,
+        witnessHealthy,
+        at: now,
+      };
+      this.#peers.get(frame.about)?.recordObservation(from, observation);
     }
   }
 
-  /** A machine that had followed the owner of a part, under its present claim, came here. */
-  #strayed(part: number, machine: string, token: number, mark: ReportPosition): void {
+  /** A machine that had the token of the owner of a part, for its current claim, reported here. */
+  #receiveMisroutedReport(
+    part: number,
+    machine: string,
+    token: number,
+    position: ReportPosition,
+  ): void {
     const { mirror, claims, clock } = this.core;
     const owner = claims.ownerOf(part);
     const claim = mirror.rows.get(keys.claim(part));
     if (owner === null || claim === undefined || token !== fencingTokenOf(mirror, claim.version))
       return;
-    this.#sensed.get(owner)?.strayed(machine, mark, clock.now());
+    this.#peers.get(owner)?.noteMisroutedReport(machine, position, clock.now());
   }
 
-  #caseOf(name: string, now: number) {
-    const sensed = this.#sensed.get(name);
-    if (sensed === undefined) return null;
-    let well = 1;
-    for (const other of this.#sensed.values()) {
-      if (other.name !== name && now - other.heardAt < this.timing.silenceMs) well++;
+  #evidenceFor(name: string, now: number) {
+    const peerState = this.#peers.get(name);
+    if (peerState === undefined) return null;
+    let reachableControllers = 1;
+    for (const other of this.#peers.values()) {
+      if (other.name !== name && now - other.lastFrameAt < this.timing.minSilenceMs)
+        reachableControllers++;
     }
-    return { peer: this.#peer(sensed, now), cluster: this.#cluster(), well };
+    return {
+      peer: this.#peerView(peerState, now),
+      cluster: this.#clusterView(),
+      reachableControllers,
+    };
   }
 
   status(): object[] {
     const now = this.core.clock.now();
-    return [...this.#sensed.values()].map((sensed) => {
-      const { name, zone, state, why, since, refutals } = sensed;
-      const silentMs = Number.isFinite(sensed.heardAt) ? Math.round(now - sensed.heardAt) : null;
+    return [...this.#peers.values()].map((peerState) => {
+      const { name, zone, status: state, why, since, refutationCount: refutals } = peerState;
+      const silentMs = Number.isFinite(peerState.lastFrameAt)
+        ? Math.round(now - peerState.lastFrameAt)
+        : null;
       return { name, zone, state, why, forMs: Math.round(now - since), silentMs, refutals };
     });
   }
@@ -317,11 +366,11 @@
       "# HELP birchdale_controller_state Another controller as this one sees it (1: is in that state)",
       "# TYPE birchdale_controller_state gauge",
     ];
-    for (const { name, state } of this.#sensed.values()) {
+    for (const { name, status: state } of this.#peers.values()) {
       lines.push(`birchdale_controller_state{controller="${name}",state="${state}"} 1`);
     }
     const { suspected, frames } = this.counts;
-    const { accusations, refuted, verdicts } = this.#court.counts;
+    const { accusations, refuted, verdicts } = this.#accusations.counts;
     const counters: [name: string, help: string, value: number][] = [
       ["suspicions", "Times that another controller became suspected here", suspected],
       ["accusations", "Accusations that this controller has written", accusations],
--- a/src/suspicion/index.ts
+++ b/src/suspicion/index.ts
@@ -1,8 +1,9 @@
 /**
- * Suspicion before verdict: how controllers notice that another does not serve, and how its parts
- * go to others before its lease has ended. Switched on by the message `suspicion` in the operators'
- * settings (`deploy/suspicion.textproto`) or by `--suspicion`; `docs/failure.md` says how it works,
- * who notices what how soon, and what its states mean.
+ * Failure detection between controllers: notices that another controller has failed and moves its
+ * parts to others before its lease expires. A suspicion must be confirmed by others before it leads
+ * to a verdict. Enabled by the message `suspicion` in the operators' settings
+ * (`deploy/suspicion.textproto`) or by `--suspicion`; `docs/failure.md` describes how it works, its
+ * detection times, and the meaning of its states.
  */
 import {
   type Attachment,
@@ -16,21 +17,26 @@
 import { readTiming, schema, type Timing } from "./settings.js";
 
 export {
-  borneOut,
-  type Case,
-  type Cluster,
+  type ClusterView,
+  corroboration,
+  decideVerdict,
   type Ground,
-  type Peer,
-  patienceMs,
-  refuteMs,
-  strayQuorum,
-  suspicious,
-  type Testimony,
-  verdict,
+  misroutedQuorum,
+  type PeerObservation,
+  type PeerView,
+  refutationTimeMs,
+  silenceTimeoutMs,
+  suspicionGround,
+  type VerdictInput,
 } from "./failure-decisions.js";
-export { Intervals } from "./frame-intervals.js";
-export { ailing, fitToAccuse, Lateness, type Own } from "./local-health.js";
-export type { State } from "./peer-state.js";
+export { FrameIntervals } from "./frame-intervals.js";
+export {
+  canAccuse,
+  type LocalHealth,
+  localHealthScore,
+  WorstTimerDelay,
+} from "./local-health.js";
+export type { PeerStatus } from "./peer-state.js";
 export { type Accusation, parseAccusation } from "./records.js";
 export { readTiming, type Timing } from "./settings.js";
 
@@ -44,7 +50,7 @@
 
   attach(core: Core): Attachment {
     core.store.writable.add(/^w\/a\//, (value) => parseAccusation(value) !== null);
-    // One without this package cannot refute, so it is not accused: its lease decides.
+    // A controller without this package cannot refute, so it is never accused: its lease must expire.
     return new FailureDetector(
       core,
       this.timing,
--- a/src/suspicion/local-health.ts
+++ b/src/suspicion/local-health.ts
@@ -1,44 +1,44 @@
 import type { Timing } from "./settings.js";
 
-/** What a controller knows of its own state that makes it a worse witness about others. */
-export interface Own {
-  /** How late its own timers were, at worst in the time that a suspect has, milliseconds. */
-  lateMs: number;
-  /** Age of its last proof of contact with the state service. */
-  contactMs: number;
-  /** Whether its lease certainly holds. */
-  valid: boolean;
-  /** Whether it answered a report lately, or has no machines to answer. */
-  answers: boolean;
+/** Aspects of a controller's own state that make its observations of others less reliable. */
+export interface LocalHealth {
+  /** Worst delay of its own timers over about the time that a suspect has to refute, milliseconds. */
+  timerDelayMs: number;
+  /** Time since its last confirmed contact with the state service, milliseconds. */
+  storeContactAgeMs: number;
+  /** Whether its lease certainly has not expired. */
+  leaseValid: boolean;
+  /** Whether it has answered a report recently in each part that has machines. */
+  answersReports: boolean;
 }
 
 /**
- * How far a controller's word about others counts (local health, after Dadgar et al., "Lifeguard",
- * 2017): 0 well, each point stretches its patience with others by once more. From 2 on it accuses
- * nobody: what it takes for another's silence may be its own deafness.
+ * Local health score (after Dadgar et al., "Lifeguard", 2017): 0 is healthy, and each point adds the
+ * base silence timeout once more. From 2 points on a controller accuses nobody: another's apparent
+ * silence may be caused by its own failure to receive.
  */
-export function ailing(own: Own, timing: Timing): number {
-  let points = 0;
-  if (own.lateMs > timing.beatMs / 2) points++;
-  if (own.lateMs > timing.beatMs * 2) points += 2;
-  if (own.contactMs > timing.reportMs) points += 2;
-  if (!own.valid) points += 2;
-  if (!own.answers) points++;
-  return points;
+export function localHealthScore(own: LocalHealth, timing: Timing): number {
+  let score = 0;
+  if (own.timerDelayMs > timing.heartbeatMs / 2) score++;
+  if (own.timerDelayMs > timing.heartbeatMs * 2) score += 2;
+  if (own.storeContactAgeMs > timing.reportIntervalMs) score += 2;
+  if (!own.leaseValid) score += 2;
+  if (!own.answersReports) score++;
+  return score;
 }
 
-export const fitToAccuse = (points: number): boolean => points < 2;
+export const canAccuse = (healthScore: number): boolean => healthScore < 2;
 
-/** How late this process's own timers are: the worst over a while, in slots of a fourth of it. */
-export class Lateness {
+/** The worst delay of this process's timers over a time window, kept in slots of a quarter of it. */
+export class WorstTimerDelay {
   readonly #worst: number[] = [0, 0, 0, 0];
   #slot = 0;
 
-  constructor(readonly overMs: number) {}
+  constructor(readonly windowMs: number) {}
 
-  /** A timer that was due came this late. */
-  note(now: number, lateMs: number): void {
-    const slot = Math.floor(now / (this.overMs / 4));
+  /** Records that a timer fired this late. */
+  record(now: number, lateMs: number): void {
+    const slot = Math.floor(now / (this.windowMs / 4));
     for (let at = this.#slot + 1; at <= slot && at <= this.#slot + 4; at++) this.#worst[at % 4] = 0;
     this.#slot = slot;
     this.#worst[slot % 4] = Math.max(this.#worst[slot % 4]!, lateMs);
--- a/src/suspicion/peer-state.ts
+++ b/src/suspicion/peer-state.ts
@@ -1,106 +1,109 @@
 import { isNewerReport, type ReportPosition } from "../workers/report-classification.js";
-import type { Ground, Testimony } from "./failure-decisions.js";
-import { Intervals } from "./frame-intervals.js";
+import type { Ground, PeerObservation } from "./failure-decisions.js";
+import { FrameIntervals } from "./frame-intervals.js";
 import type { Timing } from "./settings.js";
 
-/** What a controller shows of another: its state with the reason, since when, and how often. */
-export type State = "well" | "slow" | "suspected" | "refuted" | "failed" | "absent";
+/** Status of another controller as this one sees it (`state` in /about/status and in the metrics). */
+export type PeerStatus = "well" | "slow" | "suspected" | "refuted" | "failed" | "absent";
 
-type Said = Omit<Testimony, "ageMs"> & { at: number };
+type TimedObservation = Omit<PeerObservation, "ageMs"> & { at: number };
 
-/** What one controller has sensed of another. */
-export class Sensed {
-  readonly intervals: Intervals;
-  heardAt = Number.NEGATIVE_INFINITY;
+/** What this controller has observed of another one. */
+export class PeerState {
+  readonly intervals: FrameIntervals;
+  lastFrameAt = Number.NEGATIVE_INFINITY;
   closed = false;
-  state: State = "absent";
+  status: PeerStatus = "absent";
   why = "";
   since = 0;
   ground: Ground | null = null;
-  /** Since when there has been a ground without a break. */
-  groundAt = Number.POSITIVE_INFINITY;
-  /** When others were last asked about it. */
-  askedAt = Number.NEGATIVE_INFINITY;
-  /** How often in a row it has refuted, and before when it is not accused again. */
-  refutals = 0;
+  /** Since when there has been a ground for suspicion without a break. */
+  groundSince = Number.POSITIVE_INFINITY;
+  /** When other controllers were last asked about it. */
+  lastQueryAt = Number.NEGATIVE_INFINITY;
+  /** Refutations in a row, the last one, and the time before which it is not accused again. */
+  refutationCount = 0;
   refutedAt = Number.NEGATIVE_INFINITY;
-  notBefore = Number.NEGATIVE_INFINITY;
-  readonly #strays = new Map<string, number>();
-  /** The newest report by which each came here: a copy of one, however late, is no other witness. */
-  readonly #marks = new Map<string, ReportPosition>();
-  readonly #said = new Map<string, Said>();
+  accusableFrom = Number.NEGATIVE_INFINITY;
+  readonly #misroutedAt = new Map<string, number>();
+  /** By machine, the newest misrouted report: a copy of a report, however late, does not count. */
+  readonly #lastPositions = new Map<string, ReportPosition>();
+  readonly #observations = new Map<string, TimedObservation>();
 
   constructor(
     readonly name: string,
     readonly zone: string,
     readonly timing: Timing,
   ) {
-    this.intervals = new Intervals(timing.silenceMostMs);
+    this.intervals = new FrameIntervals(timing.maxSilenceMs);
   }
 
   /**
-   * A new run of it shows its presence, or this controller has just begun: what was sensed before
-   * is not about it. A run that had just come back was accused of the silence of the one before.
+   * Called when a new run of the controller publishes its presence, or when this controller starts:
+   * earlier observations do not concern the new run. Without this, a run that had just started was
+   * accused of the silence of the run before it.
    */
-  anew(now: number): void {
-    this.heardAt = now;
+  resetForNewRun(now: number): void {
+    this.lastFrameAt = now;
     this.closed = false;
-    this.#strays.clear();
-    this.#said.clear();
+    this.#misroutedAt.clear();
+    this.#observations.clear();
   }
 
-  heard(now: number): void {
-    // Every frame is a sign, but bursts say nothing about how long a silence may be.
-    const gap = now - this.heardAt;
-    if (gap > this.timing.beatMs / 4) this.intervals.add(gap);
-    this.heardAt = now;
+  noteFrame(now: number): void {
+    // Every frame shows that it is alive, but the short gaps within a burst are no measure of silence.
+    const gap = now - this.lastFrameAt;
+    if (gap > this.timing.heartbeatMs / 4) this.intervals.add(gap);
+    this.lastFrameAt = now;
     this.closed = false;
   }
 
-  strayed(machine: string, mark: ReportPosition, now: number): void {
-    const known = this.#marks.get(machine);
-    if (known !== undefined && !isNewerReport(mark, known)) return;
-    const { session, seq } = mark;
-    this.#marks.set(machine, { session, seq });
-    this.#strays.set(machine, now);
+  noteMisroutedReport(machine: string, position: ReportPosition, now: number): void {
+    const lastPosition = this.#lastPositions.get(machine);
+    if (lastPosition !== undefined && !isNewerReport(position, lastPosition)) return;
+    const { session, seq } = position;
+    this.#lastPositions.set(machine, { session, seq });
+    this.#misroutedAt.set(machine, now);
   }
 
-  strays(now: number): number {
-    for (const [machine, at] of this.#strays) {
-      if (now - at > this.timing.leaseMs / 2) this.#strays.delete(machine);
+  misroutedMachines(now: number): number {
+    for (const [machine, at] of this.#misroutedAt) {
+      if (now - at > this.timing.leaseMs / 2) this.#misroutedAt.delete(machine);
     }
-    return this.#strays.size;
+    return this.#misroutedAt.size;
   }
 
-  said(from: string, testimony: Omit<Said, "from">): void {
-    this.#said.set(from, { from, ...testimony });
+  recordObservation(from: string, observation: Omit<TimedObservation, "from">): void {
+    this.#observations.set(from, { from, ...observation });
   }
 
-  testimonies(now: number): Testimony[] {
-    const kept: Testimony[] = [];
-    for (const [from, { at, ...said }] of this.#said) {
-      if (now - at > this.timing.leaseMs) this.#said.delete(from);
-      else kept.push({ ...said, ageMs: now - at });
+  observations(now: number): PeerObservation[] {
+    const recent: PeerObservation[] = [];
+    for (const [from, { at, ...observation }] of this.#observations) {
+      if (now - at > this.timing.leaseMs) this.#observations.delete(from);
+      else recent.push({ ...observation, ageMs: now - at });
     }
-    return kept;
+    return recent;
   }
 
-  /** Goes over to a state; says whether that is news. */
-  enter(state: State, why: string, now: number): boolean {
+  /** Sets the status and its reason; returns whether the status has changed. */
+  transitionTo(status: PeerStatus, why: string, now: number): boolean {
     this.why = why;
-    if (state === this.state) return false;
-    this.state = state;
+    if (status === this.status) return false;
+    this.status = status;
     this.since = now;
     return true;
   }
 
-  /** It was there and served: the next accusation needs more patience each time. */
-  refuted(now: number): void {
-    this.refutals = now - this.refutedAt < this.timing.againMs * 20 ? this.refutals + 1 : 1;
+  /** It has proved that it serves: the wait before the next accusation doubles each time. */
+  noteRefutation(now: number): void {
+    this.refutationCount =
+      now - this.refutedAt < this.timing.accusationBackoffMs * 20 ? this.refutationCount + 1 : 1;
     this.refutedAt = now;
-    this.notBefore = now + this.timing.againMs * 2 ** Math.min(this.refutals - 1, 6);
-    // What was sensed before has been answered.
-    this.#strays.clear();
-    this.#said.clear();
+    this.accusableFrom =
+      now + this.timing.accusationBackoffMs * 2 ** Math.min(this.refutationCount - 1, 6);
+    // The refutation answers all earlier observations.
+    this.#misroutedAt.clear();
+    this.#observations.clear();
   }
 }
--- a/src/suspicion/records.ts
+++ b/src/suspicion/records.ts
@@ -1,18 +1,18 @@
 import { z } from "zod";
 
 const record = z.object({
-  /** Who accuses. */
+  /** Name of the accusing controller. */
   by: z.string(),
-  /** The run of the suspect that it is about: a new one has nothing to do with it. */
+  /** The run of the suspect that is accused; the accusation does not apply to a later run. */
   run: z.string(),
   ground: z.enum(["closed", "silent", "workers"]),
-  /** Who bore it out. */
+  /** Names of those who confirmed it. */
   witnesses: z.array(z.string()).max(64),
-  /** Its claims have gone to others. */
+  /** Whether a verdict has transferred the suspect's claims to others. */
   judged: z.boolean(),
 });
 
-/** That a controller is suspected (`w/a/{name}`), attached to the accuser's lease. */
+/** The record that a controller is accused (`w/a/{name}`), attached to the accuser's lease. */
 export type Accusation = z.infer<typeof record>;
 
 export const parseAccusation = (value: unknown): Accusation | null =>
--- a/src/suspicion/settings.ts
+++ b/src/suspicion/settings.ts
@@ -1,6 +1,6 @@
 import type { PackageSchema, Refuse } from "../settings/tuning.js";
 
-/** The message `suspicion` in the operators' settings; `deploy/suspicion.textproto` explains it. */
+/** Schema of the message `suspicion` in the operators' settings, explained in `deploy/suspicion.textproto`. */
 export const schema: PackageSchema = {
   field: "suspicion",
   number: 102,
@@ -21,26 +21,27 @@
 `,
 };
 
-/** Everything in milliseconds, but `phi`. */
+/** Thresholds of the failure detector; all times in milliseconds. */
 export interface Timing {
-  /** Something is said to the others at least this often. */
-  beatMs: number;
-  /** The least silence that is suspicious, and the most that is not, however unlikely. */
-  silenceMs: number;
-  silenceMostMs: number;
-  /** The same when the connection was closed as well. */
-  closedMs: number;
-  /** The least that a suspect has to refute. */
-  refuteMs: number;
-  /** After a refutation, before the same may be accused again; doubled each time. */
-  againMs: number;
+  /** A frame is sent to the other controllers at least this often. */
+  heartbeatMs: number;
+  /** The shortest silence that raises suspicion, and the longest that phi may require. */
+  minSilenceMs: number;
+  maxSilenceMs: number;
+  /** The shortest silence that raises suspicion if the connection was closed as well. */
+  closedSilenceMs: number;
+  /** The least time that a suspect has to refute an accusation. */
+  minRefutationMs: number;
+  /** Time after a refutation before the same controller may be accused again; doubled each time. */
+  accusationBackoffMs: number;
+  /** Suspicion level (phi accrual) that a silence must reach. */
   phi: number;
-  reportMs: number;
+  reportIntervalMs: number;
   leaseMs: number;
-  verdicts: boolean;
+  verdictsEnabled: boolean;
 }
 
-interface Raw {
+interface RawSettings {
   beat?: number;
   silence?: number;
   closed?: number;
@@ -55,28 +56,28 @@
   { leaseS, reportS }: { leaseS: number; reportS: number },
   refuse: Refuse,
 ): Timing {
-  const given = (raw ?? {}) as Raw;
+  const settings = (raw ?? {}) as RawSettings;
   const leaseMs = leaseS * 1000;
-  const share = (name: keyof Raw, fallback: number, most: number): number => {
-    const value = (given[name] as number | undefined) ?? fallback;
+  const leaseShareMs = (name: keyof RawSettings, fallback: number, most: number): number => {
+    const value = (settings[name] as number | undefined) ?? fallback;
     if (!(value > 0 && value <= most)) refuse(`${name}: above 0, at most ${most}`, name);
     return value * leaseMs;
   };
-  const phi = given.phi ?? 4;
+  const phi = settings.phi ?? 4;
   if (!(phi >= 1 && phi <= 20)) refuse("phi: from 1 to 20", "phi");
-  const beatMs = share("beat", 1 / 24, 1 / 4);
-  const silenceMs = share("silence", 1 / 12, 1 / 2);
+  const beatMs = leaseShareMs("beat", 1 / 24, 1 / 4);
+  const silenceMs = leaseShareMs("silence", 1 / 12, 1 / 2);
   if (silenceMs < beatMs * 1.5) refuse("silence: at least one and a half times beat", "silence");
   return {
-    beatMs,
-    silenceMs,
-    silenceMostMs: silenceMs * 2,
-    closedMs: share("closed", 1 / 24, 1 / 2),
-    refuteMs: share("refute", 1 / 12, 1),
-    againMs: share("again", 1 / 2, 100),
+    heartbeatMs: beatMs,
+    minSilenceMs: silenceMs,
+    maxSilenceMs: silenceMs * 2,
+    closedSilenceMs: leaseShareMs("closed", 1 / 24, 1 / 2),
+    minRefutationMs: leaseShareMs("refute", 1 / 12, 1),
+    accusationBackoffMs: leaseShareMs("again", 1 / 2, 100),
     phi,
-    reportMs: reportS * 1000,
+    reportIntervalMs: reportS * 1000,
     leaseMs,
-    verdicts: given.verdicts ?? true,
+    verdictsEnabled: settings.verdicts ?? true,
   };
 }
