--- a/test/rental.test.ts
+++ b/test/rental.test.ts
@@ -4,8 +4,9 @@
 import { SummaryPublisher } from "../src/part/summary-publisher.js";
 import { PlacingBench } from "./support/placing.js";
 
-// Inc-dbf5 and inc-8d22: machines were rented for whatever waited, and stood idle.
-test("rental: no dear machine is asked for what a team's limit does not let run", () => {
+// Guards against inc-dbf5 and inc-8d22: machines were rented for all waiting tasks, also those over
+// their team's limit, and stayed idle. Tasks over the limit are marked as lent.
+test("rental: capacity requests for tasks over a team's limit are marked as lent", () => {
   const type = { cpus: 4, gpus: 0, memGb: 64, price: 1, spotPrice: 1, bootS: 10, zones: ["a"] };
   const bench = new PlacingBench(new Map([["m4", { name: "m4", ...type }]]), null, ["red"]);
   Object.assign(bench.ctx, { parts: 2, limits: new Map([["red", { cpus: 20, gpus: 0 }]]) });
