--- a/src/peer/frames.ts
+++ b/src/peer/frames.ts
@@ -79,7 +79,8 @@
 
   text(value: string): void {
     const size = Buffer.byteLength(value);
-    if (size > 0xffff) throw new FrameError("text too long");
+    if (size > 0xffff)
+      throw new FrameError("text too long for a frame: at most 65535 bytes of UTF-8 are allowed");
     const at = this.#reserve(2 + size);
     this.#buffer.writeUInt16BE(size, at);
     this.#buffer.write(value, at + 2);
@@ -103,7 +104,8 @@
 
   #advance(n: number): number {
     const at = this.#offset;
-    if (at + n > this.buffer.length) throw new FrameError("frame too short");
+    if (at + n > this.buffer.length)
+      throw new FrameError("frame too short: it ends within a field");
     this.#offset = at + n;
     return at;
   }
@@ -118,7 +120,7 @@
 
   f64(): number {
     const value = this.buffer.readDoubleBE(this.#advance(8));
-    if (!Number.isFinite(value)) throw new FrameError("not a finite number");
+    if (!Number.isFinite(value)) throw new FrameError("number in a frame is not finite");
     return value;
   }
 
@@ -131,14 +133,16 @@
   list<T>(read: () => T): T[] {
     const count = this.u32();
     // An item takes at least one byte, so a forged count cannot cause a large allocation.
-    if (count > this.buffer.length) throw new FrameError("list too long");
+    if (count > this.buffer.length)
+      throw new FrameError("list in a frame has a count that exceeds the length of the frame");
     const items: T[] = [];
     for (let i = 0; i < count; i++) items.push(read());
     return items;
   }
 
   end(): void {
-    if (this.#offset !== this.buffer.length) throw new FrameError("frame too long");
+    if (this.#offset !== this.buffer.length)
+      throw new FrameError("frame too long: it has bytes after the last field");
   }
 }
 
@@ -390,7 +394,10 @@
     const frames: Buffer[] = [];
     while (this.#buffered.length >= 4) {
       const size = this.#buffered.readUInt32BE(0);
-      if (size === 0 || size > MAX_FRAME) throw new FrameError(`frame of ${size} bytes`);
+      if (size === 0 || size > MAX_FRAME)
+        throw new FrameError(
+          `invalid frame length ${size}: expected at least 1 byte and at most 1 MiB`,
+        );
       if (this.#buffered.length < 4 + size) break;
       frames.push(this.#buffered.subarray(4, 4 + size));
       this.#buffered = this.#buffered.subarray(4 + size);
--- a/src/peer/mesh.ts
+++ b/src/peer/mesh.ts
@@ -92,7 +92,8 @@
         for (const payload of cutter.push(bytes)) {
           const frame = decodeFrame(payload);
           if (from === null) {
-            if (frame?.kind !== "hello" || frame.version !== VERSION) throw new Error("no hello");
+            if (frame?.kind !== "hello" || frame.version !== VERSION)
+              throw new Error("first frame is not a hello of this protocol version");
             from = frame.node;
           } else if (frame !== null) this.onFrame(frame, from);
         }
--- a/src/suspicion/failure-detector.ts
+++ b/src/suspicion/failure-detector.ts
@@ -114,8 +114,8 @@
     for (const peer of this.#peers.values()) this.#evaluate(peer, now);
     this.#accusations.process(now, (name) => this.#evidenceFor(name, now));
     // Without any suspicion, one tick per heartbeat interval, when the next heartbeat is due: four
-    // times as many took a tenth more of a controller's processor time over a simulated day. While
-    // there is suspicion, ticks follow each other four times as fast.
+    // times as many took a tenth more of a controller's processor time over a whole day. While there
+    // is suspicion, ticks follow each other four times as fast.
     const anySuspicion =
       this.#accusations.hasOpen ||
       [...this.#peers.values()].some(({ status: state, closed }) => closed || state !== "well");
