--- a/src/cloud/fleet.ts
+++ b/src/cloud/fleet.ts
@@ -45,7 +45,7 @@
 const offerKey = ({ type, zone, spot }: Offer): string => `${type.name}/${zone}/${spot}`;
 
 /** PROTOCOL: machines boot in 0.6 to 1.5 times their type's boot time, some in several times that. */
-const OVERDUE_BOOT_FACTOR = 1.5;
+const OVERDUE_FACTOR = 1.5;
 
 /** Rents and returns machines. Only the leader has a running instance. */
 export class Fleet {
@@ -55,6 +55,7 @@
   readonly #rentedUnlisted = new Map<string, wire.ListedMachine & { at: number }>();
   /** Since when more machines have been needed than there are, booting ones included. */
   #shortageSince: number;
+  /** By offer, until when no more machines are requested: its capacity was used up. */
   readonly #unavailableUntil = new Map<string, number>();
   /** By machine, CPUs that a summary may still count of a machine that was returned while idle. */
   readonly #returnedCpus = new Map<string, number>();
@@ -71,7 +72,7 @@
   #typesReadAt = Number.NEGATIVE_INFINITY;
   #stopped = false;
   #reachable = true;
-  #pendingRequest: { offer: Offer; request: string; count: number } | null = null;
+  #pendingRequest: { offer: Offer; id: string; count: number } | null = null;
 
   constructor(readonly ctx: FleetContext) {
     this.#rateLimiter = new RateLimiter(ctx.rps * 0.8, ctx.rps, ctx.clock);
@@ -98,7 +99,7 @@
     for (const { id, type, state, ageS } of this.#listed.values()) {
       if (state !== "booting" || this.#lastNamedAt.has(id) || this.#returnedCpus.has(id)) continue;
       booting++;
-      if (ageS > OVERDUE_BOOT_FACTOR * (this.#types.get(type)?.bootS ?? Number.POSITIVE_INFINITY))
+      if (ageS > OVERDUE_FACTOR * (this.#types.get(type)?.bootS ?? Number.POSITIVE_INFINITY))
         overdue++;
     }
     return { booting: booting + this.#rentedUnlisted.size, overdue, reachable: this.#reachable };
@@ -155,9 +156,7 @@
     const answer = await this.#call("GET", wire.paths.types);
     const types = answer.status === 200 ? wire.parseTypes(answer.body) : null;
     if (types === null)
-      throw new Error(
-        `invalid answer of the cloud API to the request for machine types: status ${answer.status}`,
-      );
+      throw new Error(`cloud API returned no valid machine types: status ${answer.status}`);
     this.#types = new Map(types.map((type) => [type.name, type]));
     this.#typesReadAt = this.ctx.clock.now();
     // The other controllers need sizes and zones, which do not change; only the leader uses prices.
@@ -184,9 +183,7 @@
       const answer = await this.#call("GET", wire.paths.list(after));
       const page = answer.status === 200 ? wire.parseMachines(answer.body) : null;
       if (page === null)
-        throw new Error(
-          `invalid answer of the cloud API to the request for the machine list: status ${answer.status}`,
-        );
+        throw new Error(`cloud API returned no valid machine list: status ${answer.status}`);
       found.push(...page.machines);
       const last = page.machines.at(-1);
       if (!page.more || last === undefined) break;
@@ -227,9 +224,7 @@
     if (names.length === 0 || now - this.#startedAt < this.ctx.leaseMs / 4) return;
     const answer = await this.#call("POST", wire.paths.giveBack, wire.returnBody(names));
     if (answer.status !== 200)
-      throw new Error(
-        `cloud API did not accept the return of ${names.length} machines: status ${answer.status}, expected 200`,
-      );
+      throw new Error(`cloud API did not take back machines: status ${answer.status}`);
     this.ctx.log.info({ machines: names }, "machines returned");
     for (const id of names) {
       this.#returnedCpus.set(id, idle.get(id) ?? 0);
@@ -237,8 +232,7 @@
       this.#listed.delete(id);
       this.#rentedUnlisted.delete(id);
     }
-    // The cloud confirmed that the machines, with all their tasks, are gone. The parts' owners learn it
-    // from this record.
+    // The cloud confirmed that the machines and their tasks are gone: a record for the parts' owners.
     for (const batch of splitBySize(names, this.ctx.store.limits.valueBytes)) {
       const key = keys.goneMachines(`${this.ctx.token}-${++this.#returnRecordCount}`);
       this.ctx.store.writes.force(1);
@@ -296,8 +290,7 @@
         this.ctx.dear * lowestCpuPrice(this.#types) <
         offer.price / Math.max(1, offer.type.cpus)
       ) {
-        // An expensive machine: the work may be done by the time it has booted, or cheaper machines may
-        // become free.
+        // An expensive machine: before it has booted, work may be done or cheaper machines free.
         const shortageS = Math.max(backlogS, (now - this.#shortageSince) / 1000);
         if (shortageS < offer.type.bootS) continue;
       }
@@ -318,14 +311,13 @@
   }
 
   async #rentMachines(offer: Offer, count: number): Promise<void> {
-    // A request id is used for one request only. It contains this leader's token, so no other leader uses
-    // the same id.
+    // An id is used for one request only. It contains this leader's token, so it is unique.
     if (this.#pendingRequest === null) {
       this.#rentRequestCount++;
       this.#pendingRequest = {
         offer,
         count,
-        request: `r-${this.ctx.token}-${this.#rentRequestCount}`,
+        id: `r-${this.ctx.token}-${this.#rentRequestCount}`,
       };
     }
     const request = this.#pendingRequest;
@@ -333,7 +325,7 @@
       "POST",
       wire.paths.rent,
       wire.rentBody(
-        request.request,
+        request.id,
         request.offer.type.name,
         request.offer.zone,
         request.offer.spot,
@@ -344,17 +336,14 @@
     if (answer.status === 503) {
       this.#pendingRequest = null;
       const unexpected = (answer.body as { error?: string } | undefined)?.error !== "no capacity";
-      if (unexpected)
-        throw new Error(`cloud API refused to rent ${request.count} machines: status 503`);
+      if (unexpected) throw new Error("cloud API refused to rent machines: status 503");
       this.#unavailableUntil.set(key, this.ctx.clock.now() + 15_000);
       return;
     }
     const machines = answer.status === 200 ? wire.parseRented(answer.body) : null;
     this.#pendingRequest = null;
     if (machines === null)
-      throw new Error(
-        `invalid answer of the cloud API to rent request ${request.request}: status ${answer.status}`,
-      );
+      throw new Error(`cloud API gave no valid answer to a rent request: status ${answer.status}`);
     const now = this.ctx.clock.now();
     for (const id of machines) {
       this.#rentedUnlisted.set(id, {
@@ -370,7 +359,7 @@
     if (machines.length < request.count) this.#unavailableUntil.set(key, now + 15_000);
     this.ctx.log.info(
       {
-        request: request.request,
+        request: request.id,
         type: request.offer.type.name,
         zone: request.offer.zone,
         spot: request.offer.spot,
--- a/src/cloud/returned-machine-cleanup.ts
+++ b/src/cloud/returned-machine-cleanup.ts
@@ -33,14 +33,14 @@
   /** Removes and returns the machines returned long ago: they may be returned again if still named. */
   expired(): string[] {
     const cutoff = this.clock.now() - this.keepMs;
-    const expired: string[] = [];
+    const ids: string[] = [];
     for (const [id, at] of this.#returnedAt) {
       // The map is in the order of the returns.
       if (at > cutoff) break;
       this.#returnedAt.delete(id);
-      expired.push(id);
+      ids.push(id);
     }
-    return expired;
+    return ids;
   }
 
   /** Deletes records that are old enough, a few at a time, when the rate limiter has enough tokens left. */
--- a/src/peer/frames.ts
+++ b/src/peer/frames.ts
@@ -13,9 +13,9 @@
 const KIND_HELLO = 1;
 const KIND_SUMMARY = 2;
 /** A summary with free resources by machine. A version that does not know it reads the store's summary. */
-const KIND_SUMMARY_FREE = 3;
+const KIND_FREE_SUMMARY = 3;
 /** A summary with capacity requests and progress of jobs with expressions, and free resources if given. */
-const KIND_SUMMARY_JOBS = 4;
+const KIND_JOBS_SUMMARY = 4;
 /** Failure detection (`src/suspicion`); a version that does not know these kinds ignores them. */
 const KIND_BEAT = 5;
 const KIND_ASK = 6;
@@ -29,10 +29,7 @@
   | { kind: "beat" }
   /** Asks what the receiver has observed of another controller. */
   | { kind: "ask"; about: string }
-  /**
-   * The answer: time since the other's last frame, milliseconds; whether its connection was closed;
-   * number of its machines that report to the sender; whether the sender is healthy enough to accuse.
-   */
+  /** Answer: ms since its last frame, connection closed, its machines seen here, sender healthy. */
   | {
       kind: "say";
       about: string;
@@ -79,8 +76,7 @@
 
   text(value: string): void {
     const size = Buffer.byteLength(value);
-    if (size > 0xffff)
-      throw new FrameError("text too long for a frame: at most 65535 bytes of UTF-8 are allowed");
+    if (size > 0xffff) throw new FrameError("text longer than 65535 bytes");
     const at = this.#reserve(2 + size);
     this.#buffer.writeUInt16BE(size, at);
     this.#buffer.write(value, at + 2);
@@ -104,8 +100,7 @@
 
   #advance(n: number): number {
     const at = this.#offset;
-    if (at + n > this.buffer.length)
-      throw new FrameError("frame too short: it ends within a field");
+    if (at + n > this.buffer.length) throw new FrameError("frame ends within a field");
     this.#offset = at + n;
     return at;
   }
@@ -120,7 +115,7 @@
 
   f64(): number {
     const value = this.buffer.readDoubleBE(this.#advance(8));
-    if (!Number.isFinite(value)) throw new FrameError("number in a frame is not finite");
+    if (!Number.isFinite(value)) throw new FrameError("number is not finite");
     return value;
   }
 
@@ -133,8 +128,7 @@
   list<T>(read: () => T): T[] {
     const count = this.u32();
     // An item takes at least one byte, so a forged count cannot cause a large allocation.
-    if (count > this.buffer.length)
-      throw new FrameError("list in a frame has a count that exceeds the length of the frame");
+    if (count > this.buffer.length) throw new FrameError("list count exceeds frame length");
     const items: T[] = [];
     for (let i = 0; i < count; i++) items.push(read());
     return items;
@@ -142,7 +136,7 @@
 
   end(): void {
     if (this.#offset !== this.buffer.length)
-      throw new FrameError("frame too long: it has bytes after the last field");
+      throw new FrameError("bytes left after the last field");
   }
 }
 
@@ -234,7 +228,7 @@
   const hasJobs =
     summary.progress !== undefined || summary.need.some(({ job }) => job !== undefined);
   out.u8(
-    hasJobs ? KIND_SUMMARY_JOBS : summary.rooms === undefined ? KIND_SUMMARY : KIND_SUMMARY_FREE,
+    hasJobs ? KIND_JOBS_SUMMARY : summary.rooms === undefined ? KIND_SUMMARY : KIND_FREE_SUMMARY,
   );
   out.u32(part);
   out.f64(summary.token);
@@ -317,7 +311,7 @@
     from.end();
     return cancelled;
   }
-  if (kind !== KIND_SUMMARY && kind !== KIND_SUMMARY_FREE && kind !== KIND_SUMMARY_JOBS)
+  if (kind !== KIND_SUMMARY && kind !== KIND_FREE_SUMMARY && kind !== KIND_JOBS_SUMMARY)
     return null;
   const part = from.u32();
   const token = from.f64();
@@ -345,9 +339,9 @@
   const retired = from.list(() => from.text());
   const idle = Object.fromEntries(from.list((): [string, number] => [from.text(), from.f64()]));
   const hasFreeResources =
-    kind === KIND_SUMMARY_JOBS ? from.u8() === 1 : kind === KIND_SUMMARY_FREE;
+    kind === KIND_JOBS_SUMMARY ? from.u8() === 1 : kind === KIND_FREE_SUMMARY;
   const progress =
-    kind === KIND_SUMMARY_JOBS
+    kind === KIND_JOBS_SUMMARY
       ? from.list((): [string, number, number] => [from.text(), from.u32(), from.u32()])
       : [];
   const freeResources = !hasFreeResources
@@ -395,9 +389,7 @@
     while (this.#buffered.length >= 4) {
       const size = this.#buffered.readUInt32BE(0);
       if (size === 0 || size > MAX_FRAME)
-        throw new FrameError(
-          `invalid frame length ${size}: expected at least 1 byte and at most 1 MiB`,
-        );
+        throw new FrameError(`frame of ${size} bytes: expected 1 byte to 1 MiB`);
       if (this.#buffered.length < 4 + size) break;
       frames.push(this.#buffered.subarray(4, 4 + size));
       this.#buffered = this.#buffered.subarray(4 + size);
