--- a/src/suspicion/accusations.ts
+++ b/src/suspicion/accusations.ts
@@ -67,9 +67,9 @@
 
   /** Accuser and ground of a verdict against a controller; null if there is none. */
   verdictReason(name: string): string | null {
-    const one = this.#open.get(name);
-    if (one === undefined || !one.accusation.judged) return null;
-    return `judged by ${one.accusation.by}: ${one.accusation.ground}`;
+    const entry = this.#open.get(name);
+    if (entry === undefined || !entry.accusation.judged) return null;
+    return `judged by ${entry.accusation.by}: ${entry.accusation.ground}`;
   }
 
   #accusationChanged(name: string, version: number, accusation: Accusation | null): void {
@@ -126,11 +126,12 @@
 
   /** Processes all open accusations: refutes, writes verdicts, or removes those that are over. */
   process(now: number, evidenceFor: (name: string) => CaseEvidence | null): void {
-    const me = this.core.settings.node_name;
-    for (const one of this.#open.values()) {
+    const nodeName = this.core.settings.node_name;
+    for (const entry of this.#open.values()) {
       if (this.#writing) return;
-      if (one.name === me) this.#refuteIfServing(one);
-      else if (one.accusation.by === me) this.#considerVerdict(one, now, evidenceFor(one.name));
+      if (entry.name === nodeName) this.#refuteIfServing(entry);
+      else if (entry.accusation.by === nodeName)
+        this.#considerVerdict(entry, now, evidenceFor(entry.name));
     }
   }
 
@@ -138,30 +139,30 @@
    * Refutes an accusation of this controller once service is proved: a report answered since then,
    * under its own token, in each of its parts that has machines.
    */
-  #refuteIfServing(one: OpenAccusation): void {
+  #refuteIfServing(entry: OpenAccusation): void {
     const { claims } = this.core;
-    if (one.accusation.run !== claims.run) {
+    if (entry.accusation.run !== claims.run) {
       // It accuses an earlier run of this controller, which has ended.
-      this.#remove(one, "refutation");
+      this.#remove(entry, "refutation");
       return;
     }
-    if (one.accusation.judged || !claims.valid()) return;
+    if (entry.accusation.judged || !claims.valid()) return;
     const serviceProved = claims
       .served()
-      .every(({ machines, servedAt }) => machines === 0 || servedAt > one.seenAt);
-    if (serviceProved) this.#remove(one, "refutation");
+      .every(({ machines, servedAt }) => machines === 0 || servedAt > entry.seenAt);
+    if (serviceProved) this.#remove(entry, "refutation");
   }
 
-  #considerVerdict(one: OpenAccusation, now: number, evidence: CaseEvidence | null): void {
-    const { name, accusation } = one;
+  #considerVerdict(entry: OpenAccusation, now: number, evidence: CaseEvidence | null): void {
+    const { name, accusation } = entry;
     const presence = this.core.mirror.rows.get(keys.node(name));
-    const ageMs = now - one.seenAt;
+    const ageMs = now - entry.seenAt;
     if (presence === undefined || parsePresence(presence.value)?.run !== accusation.run) {
-      this.#remove(one, "over");
+      this.#remove(entry, "over");
       return;
     }
     if (accusation.judged) {
-      if (ageMs > this.timing.leaseMs) this.#remove(one, "over");
+      if (ageMs > this.timing.leaseMs) this.#remove(entry, "over");
       return;
     }
     if (evidence === null) return;
@@ -175,12 +176,12 @@
       );
       return;
     }
-    this.#writeVerdict(one, presence.version, outcome.by);
+    this.#writeVerdict(entry, presence.version, outcome.by);
   }
 
-  #writeVerdict(one: OpenAccusation, presenceVersion: number, witnesses: string[]): void {
+  #writeVerdict(entry: OpenAccusation, presenceVersion: number, witnesses: string[]): void {
     const { claims, log } = this.core;
-    const { name, accusation } = one;
+    const { name, accusation } = entry;
     const key = keys.accusation(name);
     const lease = claims.lease();
     if (lease === null) return;
@@ -190,7 +191,7 @@
         name,
         accusation.run,
         [
-          { key, version: one.version },
+          { key, version: entry.version },
           { key: keys.node(name), version: presenceVersion },
         ],
         [{ put: key, value, lease }],
@@ -204,18 +205,18 @@
     });
   }
 
-  #remove(one: OpenAccusation, why: "refutation" | "over"): void {
-    const key = keys.accusation(one.name);
+  #remove(entry: OpenAccusation, why: "refutation" | "over"): void {
+    const key = keys.accusation(entry.name);
     this.#runExclusively(async () => {
       this.core.store.writes.force(1);
       const result = await this.core.store.transact(
-        [{ key, version: one.version }],
+        [{ key, version: entry.version }],
         [{ remove: key }],
       );
       if (!result.ok) return;
       if (why === "refutation") {
         this.counts.refuted++;
-        this.core.log.warn({ by: one.accusation.by }, "accusation refuted");
+        this.core.log.warn({ by: entry.accusation.by }, "accusation refuted");
       }
       this.core.mirror.apply({ key, value: undefined, version: result.revision, deleted: true });
     });
