--- a/src/controller/controller-configuration.ts
+++ b/src/controller/controller-configuration.ts
@@ -1,4 +1,4 @@
-/** The configuration of one controller: what follows revisions, and what makes them. */
+/** The configuration of one controller: follows published revisions and creates new ones. */
 import {
   Author,
   type BaseConfiguration,
@@ -14,8 +14,11 @@
 export class ControllerConfiguration {
   readonly live: LiveConfiguration;
   readonly find: Router["find"];
-  /** Teams of packages, which have no limit of the platform's. */
-  readonly #guests: ReadonlyMap<string, Amounts>;
+  /**
+   * Teams that packages define, with the most they may use; the configuration sets no limit for
+   * them.
+   */
+  readonly #packageTeams: ReadonlyMap<string, Amounts>;
 
   constructor(
     core: Core,
@@ -26,10 +29,10 @@
     const { settings, mirror, store, clock, log, claims } = core;
     const { teams, workers } = settings.params;
     const reportMs = workers.report_s * 1000;
-    this.#guests = new Map(
+    this.#packageTeams = new Map(
       extensions.flatMap((extension) => extension.teams.map(({ name, most }) => [name, most])),
     );
-    const guests = [...this.#guests.keys()];
+    const guests = [...this.#packageTeams.keys()];
     const base: BaseConfiguration = { teams, guests, groups: tuning.groups };
     this.live = new LiveConfiguration({
       base,
@@ -44,28 +47,31 @@
       sayMs: reportMs / 4,
       changed,
     });
-    const author = new Author(core, this.live, base, () => capacityOf(core));
+    const author = new Author(core, this.live, base, () => totalCpuCapacity(core));
     this.find = configurationRouter(core, this.live, author);
   }
 
-  /** The most that a team may use; undefined for one that nobody knows. */
-  most(team: string): Amounts | undefined {
-    return this.live.limits.get(team) ?? this.#guests.get(team);
+  /** The most that a team may use; undefined for an unknown team. */
+  maxUse(team: string): Amounts | undefined {
+    return this.live.limits.get(team) ?? this.#packageTeams.get(team);
   }
 
   /** Names of all teams, those of packages included. */
   get teams(): ReadonlySet<string> {
-    return new Set([...this.live.limits.keys(), ...this.#guests.keys()]);
+    return new Set([...this.live.limits.keys(), ...this.#packageTeams.keys()]);
   }
 
-  guaranteed(team: string): boolean {
+  hasGuarantee(team: string): boolean {
     const { cpus, gpus } = this.live.effective.guarantees.get(team) ?? { cpus: 0, gpus: 0 };
     return cpus + gpus > 0;
   }
 }
 
-/** CPUs of all machines that take tasks; null while no part has said any. GPUs are not told. */
-function capacityOf({ summaries }: Core): Amounts | null {
+/**
+ * CPUs of all machines that take tasks; null while no part has reported any. Summaries do not
+ * contain the number of GPUs, so GPUs are taken as unlimited.
+ */
+function totalCpuCapacity({ summaries }: Core): Amounts | null {
   let cpus = 0;
   for (const [, { kinds }] of summaries.all()) for (const { capacity } of kinds) cpus += capacity;
   return cpus === 0 ? null : { cpus, gpus: Number.POSITIVE_INFINITY };
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -35,7 +35,7 @@
 import { routerOf } from "./routes.js";
 import { partAndTeamStatus } from "./status.js";
 
-/** One controller: answers users and workers, owns parts, and leads when it is its turn. */
+/** One controller: answers users and workers, owns parts, and may be the leader. */
 export class Controller {
   readonly router: Router;
   readonly #settings: Settings;
@@ -44,22 +44,22 @@
   readonly #core: Core;
   readonly #membership: Membership;
   readonly #metrics: Metrics;
-  readonly #users: JobApi;
+  readonly #jobApi: JobApi;
   readonly #refusals: Refusals;
-  readonly #owners: OwnedParts;
-  readonly #standing: OpenJobs;
-  readonly #configured: ControllerConfiguration;
-  readonly #gone: GoneMachines;
+  readonly #owned: OwnedParts;
+  readonly #openJobs: OpenJobs;
+  readonly #configuration: ControllerConfiguration;
+  readonly #goneMachines: GoneMachines;
   readonly #history: History;
-  readonly #attached: Attachment[];
+  readonly #attachments: Attachment[];
   readonly #fatal: (why: string) => void;
-  readonly #rules: PlacementPolicy | null;
-  readonly #places: PlacementConstraints;
+  readonly #policy: PlacementPolicy | null;
+  readonly #placement: PlacementConstraints;
   readonly #pipelines: Pipelines;
   #types = new Map<string, MachineType>();
   #fleet: Fleet | null = null;
-  #led: { stop(): void }[] = [];
-  readonly #reach: ReachabilityMonitor;
+  #leaderTasks: { stop(): void }[] = [];
+  readonly #reachability: ReachabilityMonitor;
 
   constructor(options: ControllerOptions) {
     const { settings, tuning, extensions, archive, log, clock, links, run } = options;
@@ -78,12 +78,12 @@
       claims: claimsOf(
         run,
         () => this.#membership,
-        () => this.#owners,
+        () => this.#owned,
       ),
       peers: peersOf(links, clock),
       types: () => this.#types,
       staleness: () => clock.now() - mirror.freshAsOf,
-      inspect: (which) => [...this.#owners.parts.values()].map((part) => part.inspect(which)),
+      inspect: (which) => [...this.#owned.parts.values()].map((part) => part.inspect(which)),
       rental: () => this.#fleet?.standing() ?? null,
     };
     this.#core = core;
@@ -94,75 +94,75 @@
       clock,
       params.workers.lease_s * 1000,
       () => this.#history.figures(),
-      () => this.#configured.live.effective.revision,
+      () => this.#configuration.live.effective.revision,
     );
-    this.#configured = new ControllerConfiguration(core, this.#tuning, extensions ?? [], () =>
-      this.#standing.reconfigured(),
+    this.#configuration = new ControllerConfiguration(core, this.#tuning, extensions ?? [], () =>
+      this.#openJobs.onGuaranteesChanged(),
     );
-    this.#attached = (extensions ?? []).map((extension) => extension.attach(core));
-    this.#rules = this.#attached.find(({ policy: rules }) => rules !== undefined)?.policy ?? null;
-    // Before all others that follow the headers: they ask it about what they have just heard.
+    this.#attachments = (extensions ?? []).map((extension) => extension.attach(core));
+    this.#policy = this.#attachments.find(({ policy }) => policy !== undefined)?.policy ?? null;
+    // Subscribes to the headers first: later subscribers query it about the change just applied.
     this.#pipelines = new Pipelines(mirror, links.store, clock, log, reportMs, (id) =>
-      this.#users.ended(id),
+      this.#jobApi.ended(id),
     );
-    this.#places = new PlacementConstraints(
-      this.#attached.find(({ matcher: matching }) => matching !== undefined)?.matcher ?? null,
+    this.#placement = new PlacementConstraints(
+      this.#attachments.find(({ matcher }) => matcher !== undefined)?.matcher ?? null,
       (id) => this.#pipelines.waits(id),
     );
-    this.#standing = new OpenJobs(
-      () => this.#configured.live.effective.guarantees,
+    this.#openJobs = new OpenJobs(
+      () => this.#configuration.live.effective.guarantees,
       targetsOf(params.objectives),
       core.summaries,
       clock,
       reportMs / 4,
-      (id, spec) => this.#places.cannotStart(id, spec),
+      (id, spec) => this.#placement.cannotStart(id, spec),
       this.#pipelines,
     );
-    this.#owners = new OwnedParts(
+    this.#owned = new OwnedParts(
       core,
       () => this.#membership,
-      (index, stamp, lost) => this.#contextOf(index, stamp, lost),
-      (part, machine, token, mark) => {
-        for (const { onMisroutedReport: strayed } of this.#attached)
-          strayed?.(part, machine, token, mark);
+      (index, claimVersion, lost) => this.#contextOf(index, claimVersion, lost),
+      (part, machine, token, position) => {
+        for (const { onMisroutedReport } of this.#attachments)
+          onMisroutedReport?.(part, machine, token, position);
       },
       () => this.#metrics.add({ kind: "event", what: "report malformed" }),
-      (name) => this.#doubted(name),
+      (name) => this.#isSuspected(name),
     );
-    const { parts } = this.#owners;
-    this.#gone = new GoneMachines(mirror, (machines) => {
+    const { parts } = this.#owned;
+    this.#goneMachines = new GoneMachines(mirror, (machines) => {
       for (const owner of parts.values()) owner.tell({ kind: "gone", machines });
     });
     this.#history = new History(
       core,
       archive ?? null,
       (id) => [...parts.values()].some(({ jobs }) => jobs.has(id)),
-      (id) => this.#attached.some(({ needsHeader: wants }) => wants?.(id) === true),
+      (id) => this.#attachments.some(({ needsHeader }) => needsHeader?.(id) === true),
     );
-    this.#refusals = new Refusals(this.#configured.teams, clock, log, this.#metrics, 60_000);
-    this.#users = new JobApi(
+    this.#refusals = new Refusals(this.#configuration.teams, clock, log, this.#metrics, 60_000);
+    this.#jobApi = new JobApi(
       core,
-      (team) => this.#configured.most(team),
+      (team) => this.#configuration.maxUse(team),
       parts,
-      this.#attached,
-      this.#places,
+      this.#attachments,
+      this.#placement,
       this.#history,
       this.#refusals,
-      (team) => this.#configured.guaranteed(team),
+      (team) => this.#configuration.hasGuarantee(team),
       this.#pipelines,
     );
     for (const fault of teamConfigErrors(params.teams))
-      log.warn(fault, "a team cannot use what it has");
+      log.warn(fault, "team's guarantee exceeds its limit; the excess cannot be used");
     this.router = routerOf({
-      users: this.#users,
-      attached: [this.#configured, ...this.#attached],
-      asked: () => this.#reach.asked(),
+      jobApi: this.#jobApi,
+      attachments: [this.#configuration, ...this.#attachments],
+      noteRequest: () => this.#reachability.noteRequest(),
       health: () => this.#health(),
       metrics: () => this.#showMetrics(),
       status: () => this.status(),
       node: settings.node_name,
       drain: (on) => this.drain(on),
-      report: (body) => this.#owners.report(body),
+      report: (body) => this.#owned.report(body),
     });
     this.#membership = new Membership(
       settings.node_name,
@@ -173,41 +173,41 @@
       clock,
       log,
       {
-        gained: (index, stamp) => void this.#owners.gained(index, stamp),
-        lost: (index, why) => this.#owners.lost(index, why),
-        leading: (stamp) => this.#lead(stamp),
-        deposed: () => this.#depose(),
+        gained: (index, claimVersion) => void this.#owned.onClaimed(index, claimVersion),
+        lost: (index, why) => this.#owned.onLost(index, why),
+        leading: (claimVersion) => this.#startLeading(claimVersion),
+        deposed: () => this.#stopLeading(),
       },
       params.workers.lease_s,
       (extensions ?? []).map(({ name }) => name),
-      (name) => this.#doubted(name),
+      (name) => this.#isSuspected(name),
     );
-    this.#reach = new ReachabilityMonitor(
+    this.#reachability = new ReachabilityMonitor(
       clock,
       params.workers.lease_s * 1000,
       () => this.#membership,
       parts,
       () => this.#fleet !== null,
     );
-    this.#follow();
+    this.#followRecords();
   }
 
-  /** Whether some package has doubts that another controller serves. */
-  #doubted(name: string): boolean {
-    return this.#attached.some(({ isSuspected: doubts }) => doubts?.(name) === true);
+  /** Whether some package suspects that another controller has failed. */
+  #isSuspected(name: string): boolean {
+    return this.#attachments.some(({ isSuspected }) => isSuspected?.(name) === true);
   }
 
-  #follow(): void {
+  #followRecords(): void {
     const { mirror, layout, store } = this.#core;
-    this.#standing.follow(mirror, (id, header) => {
-      for (const owner of this.#owners.parts.values()) owner.tell({ kind: "header", id, header });
+    this.#openJobs.follow(mirror, (id, header) => {
+      for (const part of this.#owned.parts.values()) part.tell({ kind: "header", id, header });
     });
     mirror.on(keys.node(""), () => {
-      // Survivors may use what the others do not.
+      // Controllers that are present use the share of the store's limits that absent ones do not.
       store.divide(layout.members.filter(({ name }) => mirror.rows.has(keys.node(name))).length);
     });
     mirror.on("w/s/", ({ key, value }) => {
-      if (isSummary(value)) this.#hear(Number(key.slice(4)), value);
+      if (isSummary(value)) this.#take(Number(key.slice(4)), value);
     });
     for (const key of [keys.types, keys.types2]) {
       mirror.on(key, ({ value }) => {
@@ -226,59 +226,59 @@
   start(): void {
     void this.#core.mirror.run();
     this.#membership.start();
-    this.#configured.live.start();
-    for (const attached of this.#attached) attached.start?.();
-    this.#reach.start();
+    this.#configuration.live.start();
+    for (const attached of this.#attachments) attached.start?.();
+    this.#reachability.start();
   }
 
   stop(): void {
-    this.#reach.stop();
+    this.#reachability.stop();
     this.#core.mirror.stop();
     this.#pipelines.stop();
-    this.#configured.live.stop();
+    this.#configuration.live.stop();
     this.#membership.stop();
-    this.#depose();
-    for (const attached of this.#attached) attached.stop?.();
-    for (const part of this.#owners.parts.values()) part.tell({ kind: "stop" });
+    this.#stopLeading();
+    for (const attached of this.#attachments) attached.stop?.();
+    for (const part of this.#owned.parts.values()) part.tell({ kind: "stop" });
   }
 
-  /** Something that another controller sent. */
+  /** Handles a frame from another controller. */
   hear(frame: Frame, from: string): void {
-    for (const { onFrame: hears } of this.#attached) hears?.(from, frame);
-    if (frame.kind === "cancelled") this.#owners.calledOff(frame.job, frame.version);
-    if (frame.kind === "summary" && isSummary(frame.summary)) this.#hear(frame.part, frame.summary);
+    for (const { onFrame } of this.#attachments) onFrame?.(from, frame);
+    if (frame.kind === "cancelled") this.#owned.onJobCancelled(frame.job, frame.version);
+    if (frame.kind === "summary" && isSummary(frame.summary)) this.#take(frame.part, frame.summary);
   }
 
-  #hear(part: number, summary: Summary): void {
+  #take(part: number, summary: Summary): void {
     this.#core.summaries.offer(part, summary);
-    // Its owner speaks with a newer token than ours: we have been replaced, and out of touch.
-    const stamp = this.#membership.owned.get(part);
-    if (stamp !== undefined && summary.token > fencingTokenOf(this.#core.mirror, stamp)) {
+    // A newer fencing token than this claim's: another owner took over, not seen by the watch yet.
+    const claim = this.#membership.owned.get(part);
+    if (claim !== undefined && summary.token > fencingTokenOf(this.#core.mirror, claim)) {
       this.#membership.owned.delete(part);
-      this.#owners.lost(part, "another owner speaks");
+      this.#owned.onLost(part, "received a summary with a newer fencing token");
     }
   }
 
   closed(from: string): void {
-    for (const { onPeerClosed: closed } of this.#attached) closed?.(from);
+    for (const { onPeerClosed } of this.#attachments) onPeerClosed?.(from);
   }
 
-  /** Gives all that it owns to others and takes nothing any more, until `on` is false. */
+  /** Hands all claims over to other controllers and takes none until called with `on` false. */
   drain(on = true): Promise<void> {
     return this.#membership.drain(on);
   }
 
   // ---- parts and leadership --------------------------------------------------------------
 
-  #contextOf(index: number, stamp: number, lost: (why: string) => void): PartContext {
+  #contextOf(index: number, claimVersion: number, lost: (why: string) => void): PartContext {
     const { store, mirror, clock, log, layout, summaries } = this.#core;
     const { params } = this.#settings;
-    const token = fencingTokenOf(mirror, stamp);
-    const { live } = this.#configured;
+    const token = fencingTokenOf(mirror, claimVersion);
+    const { live } = this.#configuration;
     return {
       index,
       token,
-      claim: { key: keys.claim(index), version: stamp },
+      claim: { key: keys.claim(index), version: claimVersion },
       restoreReconciliationMs: restoreReconciliationMs(params.workers),
       reconcilingRestore: () => restoreStateOf(mirror).state === "settling",
       store,
@@ -293,27 +293,27 @@
       partsOf: (zone) => layout.partsOf(zone),
       ownerSuspected: (part) => {
         const owner = this.#membership.ownerOf(part);
-        return owner !== null && this.#doubted(owner);
+        return owner !== null && this.#isSuspected(owner);
       },
       get limits() {
         return live.limits;
       },
       configuration: live,
-      isBorrower: (team) => live.limits.has(team) && !this.#configured.guaranteed(team),
-      policy: this.#rules,
-      constraints: this.#places,
+      isBorrower: (team) => live.limits.has(team) && !this.#configuration.hasGuarantee(team),
+      policy: this.#policy,
+      constraints: this.#placement,
       summaries,
       metrics: this.#metrics,
-      targets: this.#standing.targets,
+      targets: this.#openJobs.targets,
       pipelines: this.#pipelines,
       allReadCurrentFormat: () => mirror.ready && allReadCurrentFormat(mirror),
-      goneMachines: this.#gone.machines,
-      guaranteed: () => this.#standing.guaranteed(),
-      onTime: () => this.#standing.onTime(),
+      goneMachines: this.#goneMachines.machines,
+      guaranteed: () => this.#openJobs.guaranteed(),
+      onTime: () => this.#openJobs.onTime(),
       sendCommands: (address, session, commands) =>
         this.#links.order(address, ordersBody(token, session, commands)),
       publishSummary: (summary) => {
-        this.#hear(index, summary);
+        this.#take(index, summary);
         this.#core.peers.broadcast({ kind: "summary", part: index, summary });
       },
       reportMs: params.workers.report_s * 1000,
@@ -322,15 +322,15 @@
     };
   }
 
-  #lead(stamp: number): void {
-    this.#depose();
+  #startLeading(claimVersion: number): void {
+    this.#stopLeading();
     const { store, mirror, clock, log, summaries } = this.#core;
     const { params } = this.#settings;
-    const token = fencingTokenOf(mirror, stamp);
+    const token = fencingTokenOf(mirror, claimVersion);
     const valid = (): boolean =>
-      this.#membership.valid() && this.#membership.leaderClaimVersion === stamp;
+      this.#membership.valid() && this.#membership.leaderClaimVersion === claimVersion;
     log.info({ token }, "leading");
-    const claim = { key: this.#membership.leaderKey, version: stamp };
+    const claim = { key: this.#membership.leaderKey, version: claimVersion };
     this.#fleet = new Fleet({
       token,
       claim,
@@ -344,29 +344,29 @@
       listLagMs: params.cloud.list_lag_s * 1000,
       leaseMs: params.workers.lease_s * 1000,
       ...this.#tuning.rental,
-      yields: (team) => this.#rules?.preemptible(team) === true,
-      kept: () => this.#rules?.idleCpusToKeep() ?? 0,
-      wanted: () => this.#rules?.capacityRequests() ?? [],
-      // Whether a machine that could be rented would do for a job, empty as it comes.
+      yields: (team) => this.#policy?.preemptible(team) === true,
+      kept: () => this.#policy?.idleCpusToKeep() ?? 0,
+      wanted: () => this.#policy?.capacityRequests() ?? [],
+      // Whether a job could run on a machine of this kind, were one rented and empty.
       suits: (job, { type, zone, spot }) => {
-        const spec = this.#standing.open.get(job)?.spec;
-        return spec !== undefined && this.#places.allows(spec, { type: type.name, zone, spot });
+        const spec = this.#openJobs.open.get(job)?.spec;
+        return spec !== undefined && this.#placement.allows(spec, { type: type.name, zone, spot });
       },
       settling: () => restoreStateOf(mirror).state === "settling",
       valid,
     });
     this.#fleet.start();
-    for (const { lead } of this.#attached)
-      if (lead !== undefined) this.#led.push(lead({ token, claim, valid }));
-    this.#led.push(this.#history.lead({ token, claim, valid }));
-    this.#led.push(this.#pipelines.lead({ valid }));
+    for (const { lead } of this.#attachments)
+      if (lead !== undefined) this.#leaderTasks.push(lead({ token, claim, valid }));
+    this.#leaderTasks.push(this.#history.lead({ token, claim, valid }));
+    this.#leaderTasks.push(this.#pipelines.lead({ valid }));
   }
 
-  #depose(): void {
+  #stopLeading(): void {
     this.#fleet?.stop();
     this.#fleet = null;
-    for (const led of this.#led) led.stop();
-    this.#led = [];
+    for (const task of this.#leaderTasks) task.stop();
+    this.#leaderTasks = [];
   }
 
   // ---- requests --------------------------------------------------------------------------
@@ -382,21 +382,21 @@
 
   async #showMetrics(): Promise<Reply> {
     const text = await this.#metrics.text();
-    if (text === null) return retryLater(503, "not loaded yet", 5);
-    const more = this.#attached.map(({ metrics }) => metrics?.() ?? "").join("");
+    if (text === null) return retryLater(503, "metrics are not available yet", 5);
+    const more = this.#attachments.map(({ metrics }) => metrics?.() ?? "").join("");
     return { status: 200, text: text + more };
   }
 
-  /** How things stand, as far as this controller knows; for people, and for whoever must be fair. */
+  /** The body of `/about/status`: the state of the cluster as far as this controller knows it. */
   status(): object {
-    const jobsOf = (team: string): number => this.#standing.jobsOf(team);
+    const jobsOf = (team: string): number => this.#openJobs.jobCount(team);
     const own = {
       node: this.#settings.node_name,
       leads: this.#fleet !== null,
-      ...partAndTeamStatus(this.#core, this.#configured.live.effective, jobsOf),
+      ...partAndTeamStatus(this.#core, this.#configuration.live.effective, jobsOf),
       history: this.#history.status(),
       refused: this.#refusals.status(),
     };
-    return Object.assign(own, ...this.#attached.map(({ status }) => status?.() ?? {}));
+    return Object.assign(own, ...this.#attachments.map(({ status }) => status?.() ?? {}));
   }
 }
--- a/src/controller/dependencies.ts
+++ b/src/controller/dependencies.ts
@@ -4,11 +4,12 @@
 import type { After } from "../wire/jobs.js";
 
 /**
- * What is left to await of the jobs that a submission names, or why it may not name them. Only one that
- * was never accepted anywhere is a reason, which a request of its own or the archive has to say; and a
- * service, which never ends. What is done needs no place in the record, but for when it was.
- * `cancelled`: one of them is, so this job is as well from the beginning.
- * @param look what is known of a job; null: it was never accepted. Throws while that cannot be said
+ * Resolves the jobs that a submission awaits: returns those not done yet, or a refusal. A
+ * submission is refused if an awaited job was never accepted, which a lookup in the store or the
+ * archive has to confirm, or is a service, which never ends. Jobs that are done are not recorded;
+ * only the time at which the last of them ended is. `cancelled`: an awaited job is cancelled, so
+ * this job is cancelled from the beginning.
+ * @param look finds a job; null: it was never accepted. Throws while that is not known
  */
 export async function resolveDependencies(
   id: string,
@@ -27,7 +28,7 @@
       cancelled ||= status === "cancelled";
       continue;
     }
-    // Only a job that was never accepted itself may be refused.
+    // A repeated submission of an accepted job must not be refused.
     if ((await look(id)) !== null) return { after, cancelled };
     const reason = service ? "is a service, which never ends" : "was never accepted";
     return { status: 422, body: { error: `awaits ${other}, which ${reason}` } };
--- a/src/controller/gone-machines.ts
+++ b/src/controller/gone-machines.ts
@@ -1,19 +1,20 @@
 import { keys } from "../state/keys.js";
 import type { Mirror } from "../state/mirror.js";
 
-const PREFIX = keys.goneMachines("");
+const GONE_MACHINES_PREFIX = keys.goneMachines("");
 
 /**
- * Machines that the cloud has confirmed to be gone, as long as their records are there. A record is
- * the proof that nothing of a machine is left; who lacks it gets it anew by returning the machine
- * once more, for the cloud confirms names that it does not know as well.
+ * Machines that the cloud has confirmed to be gone, for as long as their records exist. A record is
+ * the proof that nothing runs on a machine any more. If the record is missing, returning the
+ * machine to the cloud again creates it anew: the cloud confirms names that it does not know as
+ * well.
  */
 export class GoneMachines {
   readonly machines = new Set<string>();
   readonly #byKey = new Map<string, string[]>();
 
   constructor(mirror: Mirror, tell: (machines: readonly string[]) => void) {
-    mirror.on(PREFIX, ({ key, value, deleted }) => {
+    mirror.on(GONE_MACHINES_PREFIX, ({ key, value, deleted }) => {
       for (const id of this.#byKey.get(key) ?? []) this.machines.delete(id);
       this.#byKey.delete(key);
       if (deleted || !Array.isArray(value)) return;
--- a/src/controller/history.ts
+++ b/src/controller/history.ts
@@ -13,90 +13,115 @@
 type ArchivePackage = typeof import("../archive/index.js");
 type Lookups = ReturnType<ArchivePackage["openArchive"]>;
 
-/** Whether and when jobs that are over leave the watched keys. */
+/** When finished jobs are moved from the watched keys to the archive. */
 export interface ArchiveOptions {
-  /** So many stay there, the latest, since they are asked for most. */
+  /**
+   * Number of finished jobs that stay in the watched keys: the latest, which are requested most.
+   */
   keep: number;
   /**
-   * And each for at least so long. Also how long nothing is archived after the archive has begun:
-   * a submission that a program of 0.1.0 had sent before does not depend on the archive, and must
-   * not be applied later than that.
+   * Minimum time for which a finished job stays there. Also how long nothing is archived after the
+   * archive was created: a submission that a program of version 0.1.0 sent before has no condition
+   * on the archive, and must have been applied by then.
    */
   ageMs: number;
 }
 
-/** Headers that one look takes from the store, and that one batch is made of. */
-const PAGE = 200;
+/** Headers per page that is read from the store, and per batch that is archived. */
+const BATCH_SIZE = 200;
 
-/** What a new job of an id has to depend on; or its state, if it has been over for long. */
+/** The conditions of the transaction that accepts a job, or the job's outcome if it is archived. */
 export type Guard = { past: JobOutcome } | { when: Condition[] };
 
 /**
- * Jobs that are over: which of them this controller keeps in memory, which the leader moves into
- * the archive, and what has become of one that is in neither. The archive itself is a package that
- * is loaded once there is one.
+ * Finished jobs: decides which of them this controller keeps in memory and which the leader moves
+ * to the archive, and looks up the outcome of archived ones. The archive package is loaded only
+ * once an archive exists or is to be created.
  */
 export class History {
-  /** Jobs that are over, in the order in which that was learned, and when it was. */
-  readonly #over = new Map<string, number>();
-  /** Those of them that a package still reads. */
-  readonly #kept = new Map<string, number>();
-  readonly #setAside = new Set<string>();
+  /**
+   * Finished jobs in memory by the time at which this controller learned that they finished, oldest
+   * first.
+   */
+  readonly #finished = new Map<string, number>();
+  /** Finished jobs whose headers a package still reads, with the same time. */
+  readonly #finishedStillRead = new Map<string, number>();
+  readonly #quarantined = new Set<string>();
   readonly #options: ArchiveOptions;
-  readonly #strangers: Admission;
-  /** Since when there has been an archive, as far as this controller has heard. */
-  #begunAt = Number.POSITIVE_INFINITY;
-  /** Since when the store has had headers of such jobs that are not in memory; null: it has none. */
+  readonly #unknownJobAdmission: Admission;
+  /** When this controller learned that the archive exists. */
+  #archiveKnownSince = Number.POSITIVE_INFINITY;
+  /**
+   * Since when the store has had headers of finished jobs that are not in memory; null: it has
+   * none.
+   */
   #backlogSince: number | null = null;
-  #cursor: string | null = null;
-  #foundInWalk = 0;
-  #moved = 0;
+  #scanCursor: string | null = null;
+  #foundInScan = 0;
+  #movedCount = 0;
   #batch: Row[] = [];
   #loading: Promise<ArchivePackage> | null = null;
   #lookups: Lookups | null = null;
 
   constructor(
     readonly core: Core,
-    /** The operators have switched the archive on; null: one that is there is used, none is begun. */
-    readonly begins: ArchiveOptions | null,
-    /** Whether a part of this controller still has something of a job. */
-    readonly inUse: (id: string) => boolean,
+    /**
+     * Set if the operators have enabled the archive; null: an existing archive is used, none is
+     * created.
+     */
+    readonly archiveOptions: ArchiveOptions | null,
+    /** Whether a part of this controller still has state of a job. */
+    readonly isInUse: (id: string) => boolean,
     /** Whether a package still reads a job's header. */
-    readonly wanted: (id: string) => boolean,
+    readonly needsHeader: (id: string) => boolean,
   ) {
-    this.#options = begins ?? defaultArchive;
-    this.#strangers = new Admission(core.store.limits.rps / (4 * core.layout.parts), core.clock);
+    this.#options = archiveOptions ?? defaultArchive;
+    this.#unknownJobAdmission = new Admission(
+      core.store.limits.rps / (4 * core.layout.parts),
+      core.clock,
+    );
     core.mirror.on(JOB_HEADER_PREFIX, ({ key, value, deleted }) => {
       const id = key.slice(JOB_HEADER_PREFIX.length);
       if (deleted) {
-        this.#over.delete(id);
-        this.#kept.delete(id);
+        this.#finished.delete(id);
+        this.#finishedStillRead.delete(id);
       } else if (!isHeader(value)) {
-        // Nothing is guessed: who asks for it hears 503 until somebody has looked at it.
-        core.log.error({ key }, "header set aside: it cannot be read");
-      } else if (isFullyReleased(value) && !this.#over.has(id) && !this.#kept.has(id)) {
-        (wanted(id) ? this.#kept : this.#over).set(id, core.clock.now());
-        this.#review();
-        this.#fade();
+        // Its state is unknown: requests for the job are answered with 503 until an operator
+        // repairs it.
+        core.log.error(
+          { key },
+          "job header is not readable; requests for this job are answered with 503",
+        );
+      } else if (
+        isFullyReleased(value) &&
+        !this.#finished.has(id) &&
+        !this.#finishedStillRead.has(id)
+      ) {
+        (needsHeader(id) ? this.#finishedStillRead : this.#finished).set(id, core.clock.now());
+        this.#recheckStillRead();
+        this.#evictOldest();
       }
     });
     core.mirror.on(keys.schema, ({ deleted }) => {
-      if (!deleted) this.#begunAt = Math.min(this.#begunAt, core.clock.now());
+      if (!deleted) this.#archiveKnownSince = Math.min(this.#archiveKnownSince, core.clock.now());
     });
-    core.mirror.skipsRow = (row) => this.#passes(row);
+    core.mirror.skipsRow = (row) => this.#skipsRow(row);
   }
 
   figures(): HistoryFigures {
-    const over = this.#over.size + this.#kept.size;
+    const over = this.#finished.size + this.#finishedStillRead.size;
     return {
       over,
-      moved: this.#moved,
+      moved: this.#movedCount,
       reads: this.#lookups?.reads ?? 0,
-      refused: this.#strangers.refused,
+      refused: this.#unknownJobAdmission.refused,
     };
   }
 
-  /** For people: the schema, how many jobs that are over are in memory, and what was read and moved. */
+  /**
+   * For `/about/status`: the schema, the number of finished jobs in memory, and counts of reads and
+   * moves.
+   */
   status(): object {
     return {
       schema: schemaOf(this.core.mirror).version,
@@ -105,13 +130,16 @@
     };
   }
 
-  /** Looks again at some of those that a package had read: they are many, and change rarely. */
-  #review(): void {
-    let looks = 4;
-    for (const [id, since] of this.#kept) {
-      if (looks-- === 0) return;
-      this.#kept.delete(id);
-      (this.wanted(id) ? this.#kept : this.#over).set(id, since);
+  /**
+   * Checks whether packages still read the oldest few headers: only some per call, as there are
+   * many and they rarely change.
+   */
+  #recheckStillRead(): void {
+    let remainingChecks = 4;
+    for (const [id, since] of this.#finishedStillRead) {
+      if (remainingChecks-- === 0) return;
+      this.#finishedStillRead.delete(id);
+      (this.needsHeader(id) ? this.#finishedStillRead : this.#finished).set(id, since);
     }
   }
 
@@ -119,35 +147,38 @@
     return this.core.settings.params.workers.lease_s * 1000;
   }
 
-  /** Twice what should stay in the watched keys: the leader has time to move the rest. */
-  get #most(): number {
+  /**
+   * Twice the number that should stay in the watched keys, so that the leader has time to move the
+   * rest.
+   */
+  get #maxInMemory(): number {
     return 2 * this.#options.keep;
   }
 
-  /** Rows that a reading of all keys need not keep. */
-  #passes({ key, value }: Row): boolean {
-    if (!key.startsWith(JOB_HEADER_PREFIX) || this.#over.size < this.#most) return false;
+  /** Whether a row of a listing of all keys need not be kept in memory. */
+  #skipsRow({ key, value }: Row): boolean {
+    if (!key.startsWith(JOB_HEADER_PREFIX) || this.#finished.size < this.#maxInMemory) return false;
     if (
       !isHeader(value) ||
       !isFullyReleased(value) ||
-      this.wanted(key.slice(JOB_HEADER_PREFIX.length))
+      this.needsHeader(key.slice(JOB_HEADER_PREFIX.length))
     )
       return false;
     this.#backlogSince ??= this.core.clock.now();
     return true;
   }
 
-  /** Takes the oldest out of memory; whoever asks for one finds it in the store. */
-  #fade(): void {
+  /** Evicts the oldest finished jobs from memory; requests for them are answered from the store. */
+  #evictOldest(): void {
     const { mirror, clock, settings } = this.core;
-    // Answers that were on their way when it was over have arrived since, or never will.
+    // Answers that were in flight when the job finished have arrived by then or never will.
     const before = clock.now() - settings.params.workers.report_s * 30_000;
-    let looks = this.#over.size - this.#most;
-    for (const [id, since] of this.#over) {
-      if (looks-- <= 0 || since > before) return;
-      this.#over.delete(id);
-      if (this.inUse(id)) {
-        this.#over.set(id, clock.now());
+    let excess = this.#finished.size - this.#maxInMemory;
+    for (const [id, since] of this.#finished) {
+      if (excess-- <= 0 || since > before) return;
+      this.#finished.delete(id);
+      if (this.isInUse(id)) {
+        this.#finished.set(id, clock.now());
         continue;
       }
       this.#backlogSince ??= clock.now();
@@ -155,90 +186,102 @@
     }
   }
 
-  // ---- what has become of a job ----------------------------------------------------------
+  // ---- lookups of archived jobs ----------------------------------------------------------
 
-  async #open(): Promise<Lookups> {
-    const { openArchive } = await this.#load();
+  async #openLookups(): Promise<Lookups> {
+    const { openArchive } = await this.#loadPackage();
     this.#lookups ??= openArchive(this.core);
     return this.#lookups;
   }
 
-  #load(): Promise<ArchivePackage> {
+  #loadPackage(): Promise<ArchivePackage> {
     this.#loading ??= import("../archive/index.js");
     return this.#loading;
   }
 
   /**
-   * Before the store is asked for a job that this controller has not heard of: whoever polls for
-   * jobs that never were leaves three quarters of the requests to the work.
+   * Limits store requests for jobs unknown to this controller to a quarter of its requests, so that
+   * polling for jobs that never existed leaves three quarters for other work.
    * @throws Refused beyond that
    */
   admit(id: string): void {
-    if (!this.#strangers.admit(id)) throw new Refused("too many questions about unknown jobs");
+    if (!this.#unknownJobAdmission.admit(id))
+      throw new Refused("too many requests for unknown jobs");
   }
 
-  /** The final state of an archived job that is remembered. */
+  /** The cached outcome of an archived job, or null. */
   recall(id: string): JobOutcome | null {
     return this.#lookups?.recall(id) ?? null;
   }
 
   /**
-   * While a restore is putting records there, what is missing may only not be there yet. Asked last
-   * and not first: a controller that has just started hears of it while a question is on its way.
+   * Throws while a restore is writing records, as a missing record may then not be written yet.
+   * Call it after the request to the store, not before: a controller that has just started may
+   * learn of the restore while that request is in flight.
    */
-  #whole(): void {
-    if (restoreStateOf(this.core.mirror).state === "filling") throw new Refused("being restored");
+  #requireCompleteRecords(): void {
+    if (restoreStateOf(this.core.mirror).state === "filling")
+      throw new Refused("a restore is writing the records");
   }
 
   /**
-   * The final state of an archived job; null when there is none. To be asked after the store had no
-   * header for it: a job is in one of both at every moment.
-   * @throws Refused while it cannot be said
+   * The outcome of an archived job; null if there is none. Call it after the store had no header
+   * for the job: every accepted job is at all times in the watched keys or in the archive.
+   * @throws Refused while it is not known
    */
   async find(id: string): Promise<JobOutcome | null> {
-    this.#whole();
-    if (schemaOf(this.core.mirror).version > 1) return (await this.#open()).find(id);
-    // Nothing is archived for a while after the archive has begun. So whoever heard of no archive
-    // lately enough knows that there is nothing in it.
+    this.#requireCompleteRecords();
+    if (schemaOf(this.core.mirror).version > 1) return (await this.#openLookups()).find(id);
+    // Nothing is archived for some time after the archive was created. So if the watched copy was
+    // current less than a lease ago and shows no archive, no job is archived yet.
     if (this.core.staleness() < this.#leaseMs) return null;
-    throw new Refused("out of touch");
+    throw new Refused(
+      "the watched copy is older than a lease: whether an archive exists is not known",
+    );
   }
 
-  /** @throws Refused while it cannot be said */
+  /**
+   * The conditions under which a job may be accepted, or its outcome if it is archived.
+   * @throws Refused while that is not known
+   */
   async guard(id: string): Promise<Guard> {
-    this.#whole();
+    this.#requireCompleteRecords();
     const { version, stamp } = schemaOf(this.core.mirror);
-    // Also while there is no archive: a transaction that is applied late, after one has begun and
-    // the job has gone into it, must fail.
+    // Required also while there is no archive: a transaction that is applied late, after an archive
+    // was created and the job moved into it, must fail.
     const when = [{ key: keys.schema, version: stamp }];
     if (version === 1) return { when };
-    const guard = await (await this.#open()).guard(id);
+    const guard = await (await this.#openLookups()).guard(id);
     return "past" in guard ? guard : { when: [...when, ...guard.when] };
   }
 
-  /** Conditions that did not hold: what was remembered of them is wrong. */
+  /** Discards what is cached for keys whose conditions failed. */
   changed(failed: readonly string[]): void {
     for (const key of failed) this.#lookups?.changed(key);
   }
 
-  // ---- moving ------------------------------------------------------------------------------
+  // ---- moving jobs to the archive ------------------------------------------------------------
 
-  /** What the leader does: begins the archive when there is enough for it, and fills it. */
+  /**
+   * Starts the leader's task: creates the archive once there are enough finished jobs, and moves
+   * them there.
+   */
   lead(leading: LeaderTerm): { stop(): void } {
     let stopped = false;
     const run = async (): Promise<void> => {
       const { clock, log, settings } = this.core;
       const everyMs = settings.params.workers.report_s * 1000;
       let reachable = true;
-      const mover = await this.#whenNeeded(leading, everyMs, () => stopped);
+      const mover = await this.#createMoverWhenNeeded(leading, everyMs, () => stopped);
       while (!stopped) {
         try {
           while (!stopped && mover !== null && (await mover.step()))
             await sleep(clock, everyMs / 20);
           reachable = true;
         } catch (error) {
-          // What was on its way may still come to pass: the next look reads what is there.
-          if (reachable) log.warn({ why: String(error) }, "archiving waits");
+          // A transaction in flight may still be applied: the next attempt reads the current
+          // records.
+          if (reachable) log.warn({ why: String(error) }, "archiving failed; will be retried");
           reachable = false;
         }
         await sleep(clock, everyMs);
@@ -252,23 +295,27 @@
     };
   }
 
-  /** Waits until there is an archive and something to put into it; nothing is loaded before. */
-  async #whenNeeded(
+  /**
+   * Waits until there are jobs to archive and an archive, which it creates if needed; loads the
+   * package only then.
+   */
+  async #createMoverWhenNeeded(
     leading: LeaderTerm,
     everyMs: number,
     stopped: () => boolean,
   ): Promise<InstanceType<ArchivePackage["Mover"]> | null> {
     const { mirror, clock, log } = this.core;
     while (!stopped()) {
-      const surplus = this.#over.size > this.#options.keep || this.#backlogSince !== null;
+      const surplus = this.#finished.size > this.#options.keep || this.#backlogSince !== null;
       const begun = schemaOf(mirror).version > 1;
-      if (surplus && leading.valid() && (begun || this.begins !== null)) {
-        const { Mover, beginArchive } = await this.#load();
+      if (surplus && leading.valid() && (begun || this.archiveOptions !== null)) {
+        const { Mover, beginArchive } = await this.#loadPackage();
         try {
-          if (begun) return new Mover(this.core, await this.#open(), this.#candidates(), leading);
+          if (begun)
+            return new Mover(this.core, await this.#openLookups(), this.#candidates(), leading);
           await beginArchive(this.core, leading);
         } catch (error) {
-          log.warn({ why: String(error) }, "the archive cannot begin yet");
+          log.warn({ why: String(error) }, "could not open or create the archive; will be retried");
         }
       }
       await sleep(clock, everyMs);
@@ -282,67 +329,67 @@
     setAside(rows: readonly Row[]): void;
   } {
     const drop = (rows: readonly Row[]): void => {
-      const names = new Set(rows.map(({ key }) => key));
-      this.#batch = this.#batch.filter(({ key }) => !names.has(key));
+      const keysToDrop = new Set(rows.map(({ key }) => key));
+      this.#batch = this.#batch.filter(({ key }) => !keysToDrop.has(key));
     };
     this.#batch = [];
     return {
       take: async () => {
         const { ageMs } = this.#options;
         const now = this.core.clock.now();
-        // Who has not heard yet that there is an archive answers for one lease that a job that is
-        // nowhere else never was (`find`).
-        this.#review();
-        if (now - this.#begunAt < Math.max(ageMs, 4 * this.#leaseMs)) return [];
-        if (this.#batch.length === 0) this.#batch = this.#aged(now - ageMs);
-        if (this.#batch.length === 0) this.#batch = await this.#walk(now - ageMs);
+        // A controller that has not seen the archive yet answers, for one lease, that a job without
+        // header never existed (`find`). So nothing is moved during the first leases.
+        this.#recheckStillRead();
+        if (now - this.#archiveKnownSince < Math.max(ageMs, 4 * this.#leaseMs)) return [];
+        if (this.#batch.length === 0) this.#batch = this.#oldestInMemory(now - ageMs);
+        if (this.#batch.length === 0) this.#batch = await this.#scanStore(now - ageMs);
         return this.#batch;
       },
       gone: (rows, revision) => {
         drop(rows);
-        this.#moved += rows.length;
+        this.#movedCount += rows.length;
         for (const { key } of rows) {
           this.core.mirror.apply({ key, value: undefined, version: revision, deleted: true });
         }
       },
       setAside: (rows) => {
         drop(rows);
-        for (const { key } of rows) this.#setAside.add(key);
+        for (const { key } of rows) this.#quarantined.add(key);
       },
     };
   }
 
-  /** Of those in memory the oldest, as many as are too many, in order of their ids. */
-  #aged(before: number): Row[] {
+  /** The oldest finished jobs in memory beyond the number to keep, in order of their ids. */
+  #oldestInMemory(before: number): Row[] {
     const { mirror } = this.core;
     const rows: Row[] = [];
-    let surplus = Math.min(PAGE, this.#over.size - this.#options.keep);
-    for (const [id, since] of this.#over) {
+    let surplus = Math.min(BATCH_SIZE, this.#finished.size - this.#options.keep);
+    for (const [id, since] of this.#finished) {
       if (surplus <= 0 || since > before) break;
       const key = keys.job(id);
       const row = mirror.rows.get(key);
-      if (row === undefined || this.#setAside.has(key)) continue;
-      if (this.inUse(id)) continue;
+      if (row === undefined || this.#quarantined.has(key)) continue;
+      if (this.isInUse(id)) continue;
       rows.push({ key, ...row });
       surplus--;
     }
     return rows.sort((a, b) => (a.key < b.key ? -1 : 1));
   }
 
-  /** Those that only the store has: it is walked through, a page at a time, in order of their ids. */
-  async #walk(before: number): Promise<Row[]> {
+  /** Finished jobs that only the store has, not memory: the next page of a scan in order of ids. */
+  async #scanStore(before: number): Promise<Row[]> {
     if (this.#backlogSince === null || this.#backlogSince > before) return [];
-    const page = await this.core.store.page(JOB_HEADER_PREFIX, this.#cursor, PAGE);
+    const page = await this.core.store.page(JOB_HEADER_PREFIX, this.#scanCursor, BATCH_SIZE);
     const rows = page.rows.filter(({ key, value }) => {
       const id = key.slice(JOB_HEADER_PREFIX.length);
-      if (this.#over.has(id) || this.#setAside.has(key) || !isHeader(value)) return false;
-      return isFullyReleased(value) && !this.inUse(id) && !this.wanted(id);
+      if (this.#finished.has(id) || this.#quarantined.has(key) || !isHeader(value)) return false;
+      return isFullyReleased(value) && !this.isInUse(id) && !this.needsHeader(id);
     });
-    this.#foundInWalk += rows.length;
-    this.#cursor = page.more ? (page.rows.at(-1)?.key ?? null) : null;
-    if (this.#cursor === null) {
-      if (this.#foundInWalk === 0) this.#backlogSince = null;
-      this.#foundInWalk = 0;
+    this.#foundInScan += rows.length;
+    this.#scanCursor = page.more ? (page.rows.at(-1)?.key ?? null) : null;
+    if (this.#scanCursor === null) {
+      if (this.#foundInScan === 0) this.#backlogSince = null;
+      this.#foundInScan = 0;
     }
     return rows;
   }
--- a/src/controller/job-api.ts
+++ b/src/controller/job-api.ts
@@ -29,81 +29,83 @@
 import { newJobHeader } from "./new-job-header.js";
 import type { RefusalReason, Refusals } from "./refusals.js";
 
-/** A job by its header, or by what the archive has of it. */
+/** A job that was found: by its header, or by its outcome in the archive. */
 type Found = { header: JobHeader; version: number } | { past: JobOutcome };
 
-/** How often something is tried while others change what it depends on. */
-const TRIES = 4;
+/** Attempts of a transaction whose conditions fail because other controllers change the records. */
+const MAX_ATTEMPTS = 4;
 
-const RESTORING = "restored records are being completed";
+const RESTORE_INCOMPLETE = "a restore of the state service is not complete yet; try again later";
 
-/** Answers users: takes, shows and cancels jobs, whoever owns the parts that run them. */
+/** Handles users' requests: accepts, shows and cancels jobs in all parts. */
 export class JobApi {
-  /** Changes that submissions of teams without a guarantee may take. */
-  readonly #borrowers: RateLimiter;
-  readonly #others: RetryAfterQueue;
-  readonly #first: RetryAfterQueue;
+  /** Limits the writes for submissions of teams without a guarantee. */
+  readonly #borrowerLimiter: RateLimiter;
+  readonly #borrowerRetries: RetryAfterQueue;
+  readonly #guaranteedRetries: RetryAfterQueue;
 
   constructor(
     readonly core: Core,
     /** The most that a team may ever use. */
-    readonly most: (team: string) => Amounts | undefined,
+    readonly maxUse: (team: string) => Amounts | undefined,
     readonly parts: ReadonlyMap<number, Part>,
-    readonly attached: readonly Attachment[],
-    readonly places: PlacementConstraints,
+    readonly attachments: readonly Attachment[],
+    readonly constraints: PlacementConstraints,
     readonly history: History,
     readonly refusals: Refusals,
     /** Whether a team has a guarantee. */
-    readonly guaranteed: (team: string) => boolean,
+    readonly hasGuarantee: (team: string) => boolean,
     readonly pipelines: Pipelines,
   ) {
     const { store, clock, layout } = core;
     const share = store.limits.writeRps / layout.parts;
-    this.#borrowers = new RateLimiter(share / 2, Math.max(1, share / 2), clock);
-    // Others come at the same time: what is added is more than those who come back may count on.
-    this.#others = new RetryAfterQueue(() => share / 4, clock);
-    this.#first = new RetryAfterQueue(() => share / 2, clock);
+    this.#borrowerLimiter = new RateLimiter(share / 2, Math.max(1, share / 2), clock);
+    // Retries are spread at half the accepted rate, since new submissions arrive at the same time.
+    this.#borrowerRetries = new RetryAfterQueue(() => share / 4, clock);
+    this.#guaranteedRetries = new RetryAfterQueue(() => share / 2, clock);
   }
 
-  #known(id: string): JobHeader | null {
+  #watchedHeader(id: string): JobHeader | null {
     const row = this.core.mirror.rows.get(keys.job(id));
     return row !== undefined && isHeader(row.value) ? row.value : null;
   }
 
   /**
-   * What its user is told. A job that one before it has cancelled is cancelled at once, whatever its
-   * header says yet; and as nothing before it can become anything else, that stays so.
-   * @throws Refused while it is not known what became of a job before it
+   * The status shown to the user. A job that awaits a cancelled job counts as cancelled at once,
+   * even while its header still says otherwise. That status is final, since a cancelled job stays
+   * cancelled.
+   * @throws Refused while the outcome of an awaited job is not known
    */
-  #stateOf(id: string, found: Found): JobStatus {
+  #statusOf(id: string, found: Found): JobStatus {
     if ("past" in found) return found.past.status;
     const { status, spec } = found.header;
     if (status !== "open" || spec?.after === undefined) return shownStatus(found.header);
     const fate = this.pipelines.fate(id);
-    if (fate === "unknown") throw new Refused("a job before it has not been looked up");
+    if (fate === "unknown") throw new Refused("an awaited job has not been looked up yet");
     if (fate === "cancelled") return "cancelled";
     return fate === "waits" ? "pending" : shownStatus(found.header);
   }
 
-  /** What became of a job that is awaited. @throws while that cannot be said */
+  /** The outcome of an awaited job. @throws while it is not known */
   async ended(id: string): Promise<Ended> {
     const row = await this.core.store.get(keys.job(id));
     if (row === null) return this.history.find(id);
-    if (!isHeader(row.value)) throw new Error(`job ${id}: not a header`);
+    if (!isHeader(row.value)) throw new Error(`job ${id}: unreadable job header`);
     return { status: row.value.status, over: row.value.over ?? null };
   }
 
-  /** Whether the records were restored and do not tell of everything yet. */
-  #closed(): boolean {
+  /** Whether a restore is in progress or has not been reconciled with the running tasks yet. */
+  #restoreIncomplete(): boolean {
     const { state } = restoreStateOf(this.core.mirror);
     return state === "filling" || state === "settling";
   }
 
   /**
-   * The newest state of a job, wherever it is kept. Final states are safe to remember; others are
-   * read anew. What is in the archive was over before its header went.
+   * The current state of a job, from the watched copy, the store or the archive. Final states never
+   * change, so remembered ones are used; others are read anew. Headers are deleted only after the
+   * job's outcome is in the archive, so a missing header is looked up there.
    */
-  async #current(id: string): Promise<Found | null> {
+  async #findCurrent(id: string): Promise<Found | null> {
     const { mirror, store } = this.core;
     const known = mirror.rows.get(keys.job(id));
     if (known !== undefined && isHeader(known.value) && known.value.status !== "open") {
@@ -112,8 +114,8 @@
     const remembered = this.history.recall(id);
     if (remembered !== null) return { past: remembered };
     if (known !== undefined && mirror.ready) {
-      // Somebody else may have told its end already: what is here counts once it is known to be
-      // current, for all who ask at the same time.
+      // Another controller may already have reported the job's end. The watched copy is used once
+      // it is known to be current; concurrent requests share that check.
       await mirror.waitUntilCurrent();
       const row = mirror.rows.get(keys.job(id));
       if (row !== undefined && isHeader(row.value)) {
@@ -125,27 +127,28 @@
       const past = await this.history.find(id);
       return past === null ? null : { past };
     }
-    if (!isHeader(row.value)) throw new Error(`job ${id}: not a header`);
+    if (!isHeader(row.value)) throw new Error(`job ${id}: unreadable job header`);
     if (row.value.status === "open" && row.value.spec?.after !== undefined) {
-      // What it waits for is known from the watched copy alone.
+      // The state of the awaited jobs is known only from the watched copy.
       await mirror.waitUntilCurrent();
       const seen = mirror.rows.get(keys.job(id));
-      if (seen === undefined || !isHeader(seen.value)) throw new Refused("not heard of yet");
+      if (seen === undefined || !isHeader(seen.value))
+        throw new Refused("the job's header is not watched yet");
       return { header: seen.value, version: seen.version };
     }
     return { header: row.value, version: row.version };
   }
 
-  /** For questions to which any header is an answer: it needs to be no newer than it is. */
-  async #look(id: string): Promise<Found | null> {
+  /** Finds a job where any version of its header will do: the watched copy need not be current. */
+  async #findAnyVersion(id: string): Promise<Found | null> {
     const row = this.core.mirror.rows.get(keys.job(id));
     if (row !== undefined && isHeader(row.value))
       return { header: row.value, version: row.version };
-    return this.#current(id);
+    return this.#findCurrent(id);
   }
 
   #unavailable(error: unknown): Reply {
-    this.core.log.debug({ why: String(error) }, "store not available");
+    this.core.log.debug({ why: String(error) }, "state service not available; answering 503");
     return retryLater(503, "state service not available", error instanceof Refused ? 2 : 1);
   }
 
@@ -153,79 +156,80 @@
     const parsed = parseSubmission(body);
     if (!parsed.ok) return this.#malformed(submittedId(body), parsed.reason);
     const { id, spec } = parsed.value;
-    if (this.#closed()) return retryLater(503, RESTORING);
+    if (this.#restoreIncomplete()) return retryLater(503, RESTORE_INCOMPLETE);
     try {
-      if (this.#known(id) === null) {
-        if (this.core.types().size === 0) return retryLater(503, "machine types not known yet");
-        const never = this.#refusal(id, spec);
-        if (never !== null) {
-          // Only a job that was never accepted may be refused.
-          const known = await this.#current(id);
+      if (this.#watchedHeader(id) === null) {
+        if (this.core.types().size === 0) return retryLater(503, "machine types are not known yet");
+        const refusal = this.#permanentRefusal(id, spec);
+        if (refusal !== null) {
+          // A repeated submission of an accepted job must not be refused.
+          const known = await this.#findCurrent(id);
           if (known === null) {
-            if (never.status === 503) return retryLater(503, never.reason);
-            this.refusals.note(id, spec.team, never.why, never.reason);
-            return { status: never.status, body: { error: never.reason } };
+            if (refusal.status === 503) return retryLater(503, refusal.reason);
+            this.refusals.note(id, spec.team, refusal.why, refusal.reason);
+            return { status: refusal.status, body: { error: refusal.reason } };
           }
         } else {
-          const notNow = this.#notNow(spec);
-          if (notNow !== null && (await this.#current(id)) === null) return retryLater(503, notNow);
-          const asked =
+          const waitReason = this.#temporaryRefusal(spec);
+          if (waitReason !== null && (await this.#findCurrent(id)) === null)
+            return retryLater(503, waitReason);
+          const dependencies =
             spec.after === undefined
               ? null
-              : await resolveDependencies(id, spec.after.jobs, (one) => this.#look(one));
-          if (asked !== null && "status" in asked) return asked;
+              : await resolveDependencies(id, spec.after.jobs, (one) => this.#findAnyVersion(one));
+          if (dependencies !== null && "status" in dependencies) return dependencies;
           const header = newJobHeader(
             this.core,
-            this.attached,
-            this.places,
-            asked === null ? spec : { ...spec, after: asked.after },
+            this.attachments,
+            this.constraints,
+            dependencies === null ? spec : { ...spec, after: dependencies.after },
           );
           if (jsonBytes(header) > this.core.store.limits.valueBytes) {
-            return retryLater(503, "more jobs are awaited that are not over than a record holds");
+            return retryLater(503, "too many awaited jobs are unfinished to fit into one record");
           }
-          const taken = await this.#take(id, header, asked?.cancelled ?? false);
-          if (taken !== null) return taken;
+          const reply = await this.#accept(id, header, dependencies?.cancelled ?? false);
+          if (reply !== null) return reply;
         }
       }
-      const known = await this.#current(id);
+      const known = await this.#findCurrent(id);
       if (known === null) return retryLater(503, "try again");
-      return { status: 200, body: statusBody(id, this.#stateOf(id, known)) };
+      return { status: 200, body: statusBody(id, this.#statusOf(id, known)) };
     } catch (error) {
       return this.#unavailable(error);
     }
   }
 
-  /** A submission that is none: of a job that was accepted before, it is a repeated one all the same. */
+  /** Answers an invalid submission; with the job's status if its id was accepted before. */
   async #malformed(id: string | null, reason: string): Promise<Reply> {
     const refused = { status: 400, body: { error: reason } };
     if (id === null) return refused;
-    if (this.#closed()) return retryLater(503, RESTORING);
+    if (this.#restoreIncomplete()) return retryLater(503, RESTORE_INCOMPLETE);
     try {
-      const known = await this.#current(id);
+      const known = await this.#findCurrent(id);
       if (known === null) return refused;
-      return { status: 200, body: statusBody(id, this.#stateOf(id, known)) };
+      return { status: 200, body: statusBody(id, this.#statusOf(id, known)) };
     } catch (error) {
       return this.#unavailable(error);
     }
   }
 
   /**
-   * Accepts a job that nobody has a header of, unless it is in the archive: retried long after it
-   * was over, or applied late, a submission must not give it a second life. Null when it turns out
-   * to be known already.
+   * Accepts a job that has no header, unless it is in the archive: a submission that is retried or
+   * applied long after the job finished must not run it again. Returns null if the job turns out to
+   * have a header already.
    */
-  async #take(id: string, header: JobHeader, doomed: boolean): Promise<Reply | null> {
+  async #accept(id: string, header: JobHeader, awaitsCancelled: boolean): Promise<Reply | null> {
     const { store, mirror, log } = this.core;
     const key = keys.job(id);
-    for (let attempt = 0; attempt < TRIES; attempt++) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       const guard = await this.history.guard(id);
       if ("past" in guard) {
         return { status: 200, body: statusBody(id, guard.past.status) };
       }
-      const turn = this.#turn(header.spec!.team);
-      if (turn !== null) return turn;
-      const mark = mirror.listingEpoch();
-      const result = await this.#patiently(() =>
+      const limited = this.#limitRate(header.spec!.team);
+      if (limited !== null) return limited;
+      const epoch = mirror.listingEpoch();
+      const result = await this.#retryOnceIfBusy(() =>
         transactConfirmedByWatch(
           store,
           mirror,
@@ -238,22 +242,22 @@
         log.debug({ job: id, owners: header.owners }, "job accepted");
         mirror.applyIfNotRelisted(
           { key, value: header, version: result.revision, deleted: false },
-          mark,
+          epoch,
         );
-        // One before it may have been cancelled so long ago that this may not be called pending at all.
-        const cancelled = doomed || this.pipelines.fate(id) === "cancelled";
+        // If an awaited job was cancelled long ago, this job must never be shown as pending.
+        const cancelled = awaitsCancelled || this.pipelines.fate(id) === "cancelled";
         return { status: 201, body: statusBody(id, cancelled ? "cancelled" : "pending") };
       }
       if (result.failed.includes(key)) return null;
-      // The archive has changed where this job would be in it, or has only just begun.
+      // The archive was just created, or the leaf of it that would contain this job has changed.
       this.history.changed(result.failed);
       if (result.failed.includes(keys.schema)) await mirror.waitForRevision(result.revision);
     }
     return retryLater(503, "try again");
   }
 
-  /** Once more after a moment, where the state service had too much to do: sent away, a user comes back a second later. */
-  async #patiently<T>(run: () => Promise<T>): Promise<T> {
+  /** Retries once after a short delay if the store is busy: users retry only after a second. */
+  async #retryOnceIfBusy<T>(run: () => Promise<T>): Promise<T> {
     try {
       return await run();
     } catch (error) {
@@ -265,57 +269,58 @@
   }
 
   /**
-   * Takes one change for a submission, or says when to come back. Submissions come before placing and
-   * ending, which can wait and then hold more each: those of teams with a guarantee up to a debt of a
-   * burst, those of all others together up to half of what is added, since their jobs are only worth
-   * taking if there are changes left to place and end them.
+   * Takes one write from the rate limiter for a submission, or returns a reply with Retry-After.
+   * Submissions take precedence over writes that place or end tasks, which can wait and then
+   * contain more changes each. Submissions of teams with a guarantee may overdraw the limiter by
+   * one burst. Those of all other teams together get up to half of the rate: accepting their jobs
+   * is useful only if writes are left to place and end their tasks.
    */
-  #turn(team: string): Reply | null {
+  #limitRate(team: string): Reply | null {
     const { writes } = this.core.store;
-    const guaranteed = this.guaranteed(team);
-    this.#borrowers.change(writes.rate / 2, Math.max(1, writes.burst / 2));
-    if (writes.level > -writes.burst && (guaranteed || this.#borrowers.take(1))) {
+    const guaranteed = this.hasGuarantee(team);
+    this.#borrowerLimiter.change(writes.rate / 2, Math.max(1, writes.burst / 2));
+    if (writes.level > -writes.burst && (guaranteed || this.#borrowerLimiter.take(1))) {
       writes.force(1);
       return null;
     }
-    const turns = guaranteed ? this.#first : this.#others;
-    return retryLater(guaranteed ? 503 : 429, "too many submissions at once", turns.nextDelayS());
+    const retries = guaranteed ? this.#guaranteedRetries : this.#borrowerRetries;
+    return retryLater(guaranteed ? 503 : 429, "too many submissions at once", retries.nextDelayS());
   }
 
-  /** Why a job can never be taken. */
-  #refusal(
+  /** Why a submission is refused, or null; status 503 if another controller may accept it. */
+  #permanentRefusal(
     id: string,
     spec: JobSpec,
   ): { status: number; why: RefusalReason; reason: string } | null {
-    if (spec.match !== undefined && this.places.matcher === null) {
-      const reason = "jobs with expressions are not switched on here";
-      // On the way from off to on, or back: another controller may take it.
+    if (spec.match !== undefined && this.constraints.matcher === null) {
+      const reason = "jobs with expressions are not enabled here";
+      // While the package is being enabled or disabled, another controller may accept the job.
       const status = isPackagePresent("submit", this.core) ? 503 : 400;
       return { status, why: "no expressions here", reason };
     }
-    const never = this.#neverRuns(spec);
-    if (never !== null) return { status: 422, ...never };
+    const impossible = this.#impossibleToRun(spec);
+    if (impossible !== null) return { status: 422, ...impossible };
     if (spec.match === undefined) return null;
-    const refused = this.places.matcher!.rejection(id, spec);
-    return refused === null ? null : { ...refused, why: "expressions" };
+    const rejection = this.constraints.matcher!.rejection(id, spec);
+    return rejection === null ? null : { ...rejection, why: "expressions" };
   }
 
-  #neverRuns(spec: JobSpec): { why: RefusalReason; reason: string } | null {
-    const limit = this.most(spec.team);
+  #impossibleToRun(spec: JobSpec): { why: RefusalReason; reason: string } | null {
+    const limit = this.maxUse(spec.team);
     if (limit === undefined) return { why: "unknown team", reason: "unknown team" };
     if (![...this.core.types().values()].some((type) => typeFits(spec, type))) {
       return { why: "fits no machine type", reason: "a task fits no allowed machine type" };
     }
-    const times = spec.kind === "array" ? 1 : spec.tasks;
-    if (!fitsWithin({ cpus: spec.cpus * times, gpus: spec.gpus * times }, limit)) {
+    const tasksAtOnce = spec.kind === "array" ? 1 : spec.tasks;
+    if (!fitsWithin({ cpus: spec.cpus * tasksAtOnce, gpus: spec.gpus * tasksAtOnce }, limit)) {
       return { why: "over the team's limit", reason: "more than the team's limit" };
     }
     return null;
   }
 
-  #notNow(spec: JobSpec): string | null {
-    for (const { refusalReason: refuses } of this.attached) {
-      const reason = refuses?.(spec) ?? null;
+  #temporaryRefusal(spec: JobSpec): string | null {
+    for (const { refusalReason } of this.attachments) {
+      const reason = refusalReason?.(spec) ?? null;
       if (reason !== null) return reason;
     }
     return null;
@@ -324,25 +329,25 @@
   async show(id: string): Promise<Reply> {
     if (!isJobId(id)) return { status: 404, body: { error: "no such job" } };
     try {
-      const known = await this.#current(id);
+      const known = await this.#findCurrent(id);
       if (known === null) return { status: 404, body: { error: "no such job" } };
-      // A worker may still prove that it is done.
-      const status = this.#stateOf(id, known);
-      if (this.#closed() && ["pending", "running"].includes(status)) {
-        return retryLater(503, RESTORING);
+      // During restore reconciliation, a worker's report may still show that the job is done.
+      const status = this.#statusOf(id, known);
+      if (this.#restoreIncomplete() && ["pending", "running"].includes(status)) {
+        return retryLater(503, RESTORE_INCOMPLETE);
       }
       const counts =
         "past" in known ? { done: known.past.done, running: 0 } : this.#counts(id, known.header);
-      // For people; the list may be long.
-      const left = status === "pending" ? this.pipelines.waitsFor(id).slice(0, 20) : [];
-      const more = left.length === 0 ? counts : { ...counts, awaits: left };
-      return { status: 200, body: statusBody(id, status, more) };
+      // For display only; limited because the list may be long.
+      const awaitedJobs = status === "pending" ? this.pipelines.waitsFor(id).slice(0, 20) : [];
+      const details = awaitedJobs.length === 0 ? counts : { ...counts, awaits: awaitedJobs };
+      return { status: 200, body: statusBody(id, status, details) };
     } catch (error) {
       return this.#unavailable(error);
     }
   }
 
-  /** For display: what the finished chunks and our own parts say. */
+  /** Task counts for display, from finished chunks and from the parts of this controller. */
   #counts(id: string, header: JobHeader): { done: number; running: number } {
     if (header.status === "done") return { done: header.tasks, running: 0 };
     let done = finishedTasks(header);
@@ -350,7 +355,7 @@
     for (const part of this.parts.values()) {
       for (const chunk of part.jobs.get(id)?.chunks.values() ?? []) {
         if (header.owners[chunk.index] !== "x") done += chunk.doneCount;
-        for (const live of chunk.allocations.values()) if (live.running) running++;
+        for (const allocation of chunk.allocations.values()) if (allocation.running) running++;
       }
     }
     return { done, running };
@@ -359,20 +364,20 @@
   async cancel(id: string): Promise<Reply> {
     const { store, mirror, log, peers } = this.core;
     if (!isJobId(id)) return { status: 404, body: { error: "no such job" } };
-    if (this.#closed()) return retryLater(503, RESTORING);
+    if (this.#restoreIncomplete()) return retryLater(503, RESTORE_INCOMPLETE);
     try {
-      for (let attempt = 0; attempt < TRIES; attempt++) {
-        const known = await this.#current(id);
+      for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+        const known = await this.#findCurrent(id);
         if (known === null) return { status: 404, body: { error: "no such job" } };
         if ("past" in known) return { status: 200, body: statusBody(id, known.past.status) };
         if (known.header.status !== "open") {
           return { status: 200, body: statusBody(id, known.header.status) };
         }
         store.writes.force(2);
-        const version = await this.#patiently(() => tryCancel(store, mirror, id, known));
+        const version = await this.#retryOnceIfBusy(() => tryCancel(store, mirror, id, known));
         if (version !== null) {
           log.info({ job: id }, "job cancelled");
-          // Owners hear of it by the watch; one that the store refuses hears of it so.
+          // Owners learn of it from the watch, or from this frame if the store refuses them.
           peers.broadcast({ kind: "cancelled", job: id, version });
           return { status: 200, body: statusBody(id, "cancelled") };
         }
--- a/src/controller/open-jobs.ts
+++ b/src/controller/open-jobs.ts
@@ -9,126 +9,136 @@
 import type { Mirror } from "../state/mirror.js";
 import type { JobSpec } from "../wire/jobs.js";
 
-/** Whether something can start of it may change without a change of its header. */
-const isPicky = (header: JobHeader | undefined): boolean =>
+/** Whether the job's tasks may become startable, or cease to be, without a change of its header. */
+const hasStartConditions = (header: JobHeader | undefined): boolean =>
   header?.spec?.match !== undefined || header?.spec?.after !== undefined;
 
-/** How all open jobs stand, in whatever part they are: within a guarantee, and in time. */
+/** All open jobs of all parts: which are within their team's guarantee, and which are on time. */
 export class OpenJobs {
   readonly open = new Map<string, JobHeader>();
-  /** Those of them that are within their team's guarantee; null when it has to be found anew. */
-  #inside: Set<string> | null = null;
-  #insideAt = Number.NEGATIVE_INFINITY;
-  /** Open jobs with expressions, or that await others. */
-  #picky = 0;
-  #inTime = new Set<string>();
-  #inTimeAt = Number.NEGATIVE_INFINITY;
+  /** Ids of the open jobs within their team's guarantee; null if it must be computed again. */
+  #withinGuarantee: Set<string> | null = null;
+  #withinGuaranteeAt = Number.NEGATIVE_INFINITY;
+  /** Number of open jobs that have expressions or await other jobs. */
+  #startConditionCount = 0;
+  #onTimeIds = new Set<string>();
+  #onTimeAt = Number.NEGATIVE_INFINITY;
 
   constructor(
     readonly guarantees: () => ReadonlyMap<string, Amounts>,
     readonly targets: Targets,
     readonly summaries: Summaries,
     readonly clock: Clock,
-    /** For how long the answer about being in time is kept. */
-    readonly keepMs: number,
-    /** Jobs of which nothing can start have no claim to anything. */
-    readonly idle: (id: string, spec: JobSpec) => boolean = () => false,
-    /** What pipelines say of a job's priority and of when it is due. */
+    /**
+     * How long the set of on-time jobs is cached; also that of jobs within a guarantee while some
+     * have start conditions.
+     */
+    readonly cacheMs: number,
+    /**
+     * Whether nothing of a job can start. Such jobs count neither as within a guarantee nor as on
+     * time.
+     */
+    readonly cannotStart: (id: string, spec: JobSpec) => boolean = () => false,
+    /** Priority and due time of jobs in pipelines. */
     readonly pipelines: Pick<Pipelines, "rank" | "due" | "since"> | null = null,
   ) {}
 
-  /** Follows the headers; tells of each that changes, once it is known here. */
+  /** Subscribes to the job headers; calls `tell` for each change after it is applied here. */
   follow(mirror: Mirror, tell: (id: string, header: JobHeader) => void): void {
     mirror.on(JOB_HEADER_PREFIX, ({ key, value, deleted }) => {
       const id = key.slice(JOB_HEADER_PREFIX.length);
       const known = this.open.get(id);
       if (deleted) {
-        // Over and archived while this controller did not hear of either.
-        if (this.open.delete(id)) this.#inside = null;
-        if (isPicky(known)) this.#picky--;
+        // The job finished and was archived while this controller saw neither change.
+        if (this.open.delete(id)) this.#withinGuarantee = null;
+        if (hasStartConditions(known)) this.#startConditionCount--;
         return;
       }
       if (!isHeader(value)) return;
       if (value.status !== "open") {
-        if (this.open.delete(id)) this.#inside = null;
-        if (isPicky(known)) this.#picky--;
+        if (this.open.delete(id)) this.#withinGuarantee = null;
+        if (hasStartConditions(known)) this.#startConditionCount--;
       } else {
-        if (known === undefined) this.#inside = null;
-        if (known === undefined && isPicky(value)) this.#picky++;
+        if (known === undefined) this.#withinGuarantee = null;
+        if (known === undefined && hasStartConditions(value)) this.#startConditionCount++;
         this.open.set(id, value);
       }
       tell(id, value);
     });
   }
 
-  /** Guarantees have changed: who is within them is found anew. */
-  reconfigured(): void {
-    this.#inside = null;
-    this.#inTimeAt = Number.NEGATIVE_INFINITY;
+  /** Discards the cached sets after the guarantees have changed. */
+  onGuaranteesChanged(): void {
+    this.#withinGuarantee = null;
+    this.#onTimeAt = Number.NEGATIVE_INFINITY;
   }
 
-  #dueOf(id: string, spec: JobSpec, at: number): number {
+  #dueTime(id: string, spec: JobSpec, at: number): number {
     const { pipelines, targets } = this;
     if (pipelines === null) return dueTime(spec, at, targets);
     return pipelines.due(id, dueTime(spec, at, targets, pipelines.since(id, at)));
   }
 
-  jobsOf(team: string): number {
+  jobCount(team: string): number {
     let count = 0;
     for (const { spec } of this.open.values()) if (spec?.team === team) count++;
     return count;
   }
 
   /**
-   * Jobs within their team's guarantee: they fit into it together with the team's earlier
-   * unfinished jobs, wherever those run. Such jobs should not have to wait for other teams.
+   * Ids of jobs within their team's guarantee: they fit into it together with the team's earlier
+   * unfinished jobs in all parts. Such jobs should not have to wait for other teams.
    */
   guaranteed(): ReadonlySet<string> {
     const now = this.clock.now();
-    // A held job is released, or a machine's answer changes, without a change of any header.
-    const old = this.#picky > 0 && now - this.#insideAt >= this.keepMs;
-    if (this.#inside !== null && !old) return this.#inside;
-    this.#inside = new Set();
-    this.#insideAt = now;
-    const left = new Map(this.guarantees());
+    // A hold may be released, or a machine's match with a job may change, without any header
+    // change.
+    const expired = this.#startConditionCount > 0 && now - this.#withinGuaranteeAt >= this.cacheMs;
+    if (this.#withinGuarantee !== null && !expired) return this.#withinGuarantee;
+    this.#withinGuarantee = new Set();
+    this.#withinGuaranteeAt = now;
+    const unusedGuarantee = new Map(this.guarantees());
     for (const [id, { spec }] of [...this.open].sort(([, a], [, b]) => a.at - b.at)) {
-      const rest = spec === undefined ? undefined : left.get(spec.team);
-      if (spec === undefined || rest === undefined || this.idle(id, spec)) continue;
+      const unused = spec === undefined ? undefined : unusedGuarantee.get(spec.team);
+      if (spec === undefined || unused === undefined || this.cannotStart(id, spec)) continue;
       const size = { cpus: spec.cpus * spec.tasks, gpus: spec.gpus * spec.tasks };
-      if (fitsWithin(size, rest)) this.#inside.add(id);
-      left.set(spec.team, subtractAmounts(rest, size));
+      if (fitsWithin(size, unused)) this.#withinGuarantee.add(id);
+      unusedGuarantee.set(spec.team, subtractAmounts(unused, size));
     }
-    return this.#inside;
+    return this.#withinGuarantee;
   }
 
-  /** Jobs that are to be in time, with the CPUs that their teams have now or are guaranteed. */
+  /**
+   * Ids of jobs that can meet their due time with the CPUs that their teams use now or are
+   * guaranteed.
+   */
   onTime(): ReadonlySet<string> {
     const now = this.clock.now();
-    if (now - this.#inTimeAt < this.keepMs) return this.#inTime;
-    this.#inTimeAt = now;
+    if (now - this.#onTimeAt < this.cacheMs) return this.#onTimeIds;
+    this.#onTimeAt = now;
     const wall = this.clock.wall();
     const jobs = new Map<string, DueJob[]>();
     for (const [id, { spec, at, owners, chunkSize }] of this.open) {
-      if (spec === undefined || this.idle(id, spec)) continue;
-      const left = Math.min(spec.tasks, unfinishedChunks(owners) * chunkSize);
+      if (spec === undefined || this.cannotStart(id, spec)) continue;
+      const tasksLeft = Math.min(spec.tasks, unfinishedChunks(owners) * chunkSize);
       const due: DueJob = {
         id,
         rank: this.pipelines?.rank(id, spec.rank) ?? spec.rank,
-        leftS: (this.#dueOf(id, spec, at) - wall) / 1000,
+        leftS: (this.#dueTime(id, spec, at) - wall) / 1000,
         taskS: spec.estimateS,
-        work: left * spec.cpus * spec.estimateS,
+        work: tasksLeft * spec.cpus * spec.estimateS,
       };
       const list = jobs.get(spec.team);
       if (list === undefined) jobs.set(spec.team, [due]);
       else list.push(due);
     }
-    this.#inTime = new Set();
+    this.#onTimeIds = new Set();
     for (const [team, list] of jobs) {
       let cpus = 0;
       for (const [, { use }] of this.summaries.all()) cpus += use[team]?.[0] ?? 0;
-      const most = Math.max(1, cpus, this.guarantees().get(team)?.cpus ?? 0);
-      for (const id of selectOnTimeJobs(list, most)) this.#inTime.add(id);
+      const usableCpus = Math.max(1, cpus, this.guarantees().get(team)?.cpus ?? 0);
+      for (const id of selectOnTimeJobs(list, usableCpus)) this.#onTimeIds.add(id);
     }
-    return this.#inTime;
+    return this.#onTimeIds;
   }
 }
--- a/src/controller/options.ts
+++ b/src/controller/options.ts
@@ -8,15 +8,15 @@
 import type { Store } from "../state/store.js";
 import type { ArchiveOptions } from "./history.js";
 
-/** How a controller reaches the rest of the world. Tests have stand-ins for all of it. */
+/** A controller's connections to other processes. Tests replace all of them by simulated ones. */
 export interface Links {
   store: Store;
   cloud: Caller;
-  /** Sends a body to a worker's orders; nobody waits for the answer. */
+  /** Sends commands to a worker's `/orders`; does not wait for the answer. */
   order(address: string, body: object): void;
-  /** Tells the other controllers something that they may or may not hear. */
+  /** Sends a frame to all other controllers. Delivery is not guaranteed. */
   broadcast(frame: Frame): void;
-  /** Tells one of them. */
+  /** Sends a frame to one other controller. Delivery is not guaranteed. */
   send(to: string, frame: Frame): void;
 }
 
@@ -24,15 +24,15 @@
   settings: Settings;
   /** Without it, every team has weight 1. */
   tuning?: Tuning;
-  /** Optional packages that the operators have switched on. */
+  /** Optional packages that the operators have enabled. */
   extensions?: readonly Extension[];
   log: Log;
   clock: Clock;
   links: Links;
-  /** Tells this run of the process from earlier ones. */
+  /** Identifies this run of the process; differs from run to run. */
   run: string;
-  /** With it, this controller as the leader begins an archive of jobs that are over. */
+  /** If set, this controller creates an archive of finished jobs when it is the leader. */
   archive?: ArchiveOptions;
-  /** This controller cannot go on, and has stopped. */
+  /** Called when this controller has stopped because it cannot continue. */
   fatal?(why: string): void;
 }
--- a/src/controller/package-access.ts
+++ b/src/controller/package-access.ts
@@ -4,7 +4,7 @@
 import type { Frame } from "../peer/frames.js";
 import type { OwnedParts } from "./owned-parts.js";
 
-/** What packages may see and say of claims. */
+/** The access of packages to claims: what they may read and request. */
 export function claimsOf(
   run: string,
   membership: () => Membership,
@@ -24,7 +24,7 @@
   };
 }
 
-/** The other controllers, with a note of when all of them were last told something. */
+/** The connection to the other controllers; records when the last broadcast was sent. */
 export function peersOf(
   links: { send(to: string, frame: Frame): void; broadcast(frame: Frame): void },
   clock: Clock,
--- a/src/controller/reachability.ts
+++ b/src/controller/reachability.ts
@@ -2,11 +2,14 @@
 import type { Membership } from "../membership/membership.js";
 import type { Part } from "../part/part.js";
 
-/** Notices that those outside do not reach this controller, though the state service does. */
+/**
+ * Detects that workers, users and load balancers cannot reach this controller although its
+ * connection to the state service works, and relinquishes its parts then.
+ */
 export class ReachabilityMonitor {
-  /** When anyone outside last asked us anything: the load balancer does so every second. */
-  #askedAt: number | null = null;
-  #watchedAt = 0;
+  /** When the last request of any kind arrived; the load balancer sends one every second. */
+  #lastRequestAt: number | null = null;
+  #checkedAt = 0;
   #stopped = false;
 
   constructor(
@@ -14,40 +17,46 @@
     readonly leaseMs: number,
     readonly membership: () => Membership,
     readonly parts: ReadonlyMap<number, Part>,
-    readonly leads: () => boolean,
+    readonly isLeading: () => boolean,
   ) {}
 
-  asked(): void {
-    this.#askedAt = this.clock.now();
+  noteRequest(): void {
+    this.#lastRequestAt = this.clock.now();
   }
 
   start(): void {
-    this.#watch();
+    this.#check();
   }
 
   stop(): void {
     this.#stopped = true;
   }
 
-  #watch(): void {
+  #check(): void {
     if (this.#stopped) return;
     const { leaseMs, parts } = this;
     const everyMs = leaseMs / 24;
     const now = this.clock.now();
-    // When this process itself was held up, nobody else is to blame for the silence.
-    const late = now - this.#watchedAt > everyMs * 3;
-    this.#watchedAt = now;
+    // If this process itself was delayed, missing requests are no sign that it is unreachable.
+    const wasDelayed = now - this.#checkedAt > everyMs * 3;
+    this.#checkedAt = now;
     const membership = this.membership();
     membership.noteProcessAlive();
-    if (!late && membership.valid()) {
-      const deaf = this.#askedAt !== null && now - this.#askedAt > leaseMs / 3;
-      const leaving = [...parts.keys()].filter((i) => deaf || parts.get(i)!.mostMachinesSilent());
-      if (leaving.length > 0 || (deaf && this.leads())) {
+    if (!wasDelayed && membership.valid()) {
+      const unreachable = this.#lastRequestAt !== null && now - this.#lastRequestAt > leaseMs / 3;
+      const partsToRelinquish = [...parts.keys()].filter(
+        (i) => unreachable || parts.get(i)!.mostMachinesSilent(),
+      );
+      if (partsToRelinquish.length > 0 || (unreachable && this.isLeading())) {
         membership
-          .relinquish(leaving, deaf ? leaseMs / 2 : leaseMs * 4, "machines do not reach us")
+          .relinquish(
+            partsToRelinquish,
+            unreachable ? leaseMs / 2 : leaseMs * 4,
+            "machines do not reach us",
+          )
           .catch(() => undefined);
       }
     }
-    this.clock.after(everyMs, () => this.#watch());
+    this.clock.after(everyMs, () => this.#check());
   }
 }
--- a/src/controller/record-kinds.ts
+++ b/src/controller/record-kinds.ts
@@ -11,8 +11,9 @@
 const isText = (value: unknown): boolean => typeof value === "string";
 
 /**
- * What the core writes, each kind with what reads it. Packages add theirs (`Extension.records`);
- * kinds that are not here are only checked for what no store would give back.
+ * Creates a validator with all record kinds that the core writes, each with the check of its
+ * reader. Packages add their own kinds (`Extension.records`). Records of other kinds are only
+ * checked for values that would not survive encoding.
  */
 export const coreRecordValidator = (
   refused?: (key: string, why: string) => void,
--- a/src/controller/routes.ts
+++ b/src/controller/routes.ts
@@ -3,12 +3,12 @@
 import { drainPath, statusPath } from "../wire/jobs.js";
 import type { JobApi } from "./job-api.js";
 
-/** What a controller answers with. */
-interface Answers {
-  users: JobApi;
-  attached: readonly Attachment[];
-  /** Anyone outside has asked anything. */
-  asked(): void;
+/** The functions of a controller that the routes call. */
+interface Handlers {
+  jobApi: JobApi;
+  attachments: readonly Attachment[];
+  /** Called for each request, whatever its path. */
+  noteRequest(): void;
   health(): Reply;
   metrics(): Promise<Reply>;
   status(): object;
@@ -17,36 +17,36 @@
   report(body: unknown): Reply | Promise<Reply>;
 }
 
-async function drained(body: unknown, { node, drain }: Answers): Promise<Reply> {
+async function setDrained(body: unknown, { node, drain }: Handlers): Promise<Reply> {
   const on = (body as { on?: unknown } | null | undefined)?.on;
-  if (typeof on !== "boolean") return { status: 400, body: { error: "on: true or false" } };
+  if (typeof on !== "boolean") return { status: 400, body: { error: "on: must be true or false" } };
   await drain(on);
   return { status: 200, body: { node, drained: on } };
 }
 
-/** PROTOCOL's paths first, then those of operators, then those of packages. */
-export function routerOf(answers: Answers): Router {
-  const { users, attached } = answers;
+/** Creates the router: paths of the core first, then those of packages. */
+export function routerOf(answers: Handlers): Router {
+  const { jobApi, attachments } = answers;
   const fixed = new Map<string, Route[]>([
     ["/healthz", [{ method: "GET", run: () => answers.health() }]],
     ["/metrics", [{ method: "GET", run: () => answers.metrics() }]],
     [statusPath, [{ method: "GET", run: () => ({ status: 200, body: answers.status() }) }]],
-    [drainPath, [{ method: "POST", run: ({ body }) => drained(body, answers) }]],
+    [drainPath, [{ method: "POST", run: ({ body }) => setDrained(body, answers) }]],
     ["/checkin", [{ method: "POST", run: ({ body }) => answers.report(body) }]],
-    ["/api/jobs", [{ method: "POST", run: ({ body }) => users.submit(body) }]],
+    ["/api/jobs", [{ method: "POST", run: ({ body }) => jobApi.submit(body) }]],
   ]);
-  const show: Route[] = [{ method: "GET", run: ({ params }) => users.show(params[0]!) }];
-  const cancel: Route[] = [{ method: "POST", run: ({ params }) => users.cancel(params[0]!) }];
+  const show: Route[] = [{ method: "GET", run: ({ params }) => jobApi.show(params[0]!) }];
+  const cancel: Route[] = [{ method: "POST", run: ({ params }) => jobApi.cancel(params[0]!) }];
   return {
     find: (path) => {
-      answers.asked();
+      answers.noteRequest();
       const routes = fixed.get(path);
       if (routes !== undefined) return { routes, params: [] };
       const match = /^\/api\/jobs\/([^/]+)(\/withdraw)?$/.exec(path);
       if (match !== null) {
         return { routes: match[2] === undefined ? show : cancel, params: [match[1]!] };
       }
-      for (const { find } of attached) {
+      for (const { find } of attachments) {
         const found = find?.(path) ?? null;
         if (found !== null) return found;
       }
--- a/src/controller/status.ts
+++ b/src/controller/status.ts
@@ -3,7 +3,7 @@
 import { fitsWithin, ShareTree } from "../fair/share.js";
 import { shownLimit } from "../quota/limits.js";
 
-/** What a controller knows of parts and teams, for people and for whoever must be fair. */
+/** The parts and teams in `/about/status`, as far as this controller knows them. */
 export function partAndTeamStatus(
   { layout, summaries, claims }: Core,
   { revision, groups, limits, guarantees }: EffectiveConfiguration,
@@ -27,7 +27,7 @@
   const teams = [...limits].map(([name, limit]) => ({
     name,
     use: tree.use(name),
-    // Since its limit was lowered: nothing of it starts until it uses less.
+    // The team's limit was lowered below its use: none of its tasks start until it uses less.
     ...(fitsWithin(tree.use(name), limit) ? {} : { overLimit: true }),
     guarantee: guarantees.get(name),
     limit: shownLimit(limit),
