--- a/src/actor.ts
+++ b/src/actor.ts
@@ -1,6 +1,7 @@
 /**
- * An actor owns its state. Others only speak to it through `tell`; messages are handled one
- * after another, so no handler ever sees the state half changed by another one.
+ * An actor owns its state, which changes only in response to messages sent with `tell`. Messages
+ * are handled one after another, so no handler sees state that another handler has changed only in
+ * part.
  */
 export abstract class Actor<M> {
   readonly #queue: M[] = [];
--- a/src/clock.ts
+++ b/src/clock.ts
@@ -1,4 +1,4 @@
-/** Time and timers, replaceable by a fake clock in tests. `now` is steady and in milliseconds. */
+/** Time and timers, replaceable by a fake clock in tests. `now` is monotonic, in milliseconds. */
 export interface Clock {
   now(): number;
   /** Time of day in milliseconds; only for display and for ordering jobs by age. */
@@ -19,7 +19,9 @@
   },
 };
 
-/** Steady clocks of two machines may differ by this ratio (PROTOCOL: 0.05%); doubled to be safe. */
+/**
+ * Largest assumed rate difference of two machines' monotonic clocks: twice the 0.05% of PROTOCOL.
+ */
 export const DRIFT = 0.001;
 
 export function sleep(clock: Clock, ms: number): Promise<void> {
--- a/src/configuration/api.ts
+++ b/src/configuration/api.ts
@@ -1,4 +1,4 @@
-/** What operators ask and tell a controller about the configuration, over HTTP. */
+/** The HTTP interface for operators to read and change the configuration. */
 import type { Core } from "../extension/index.js";
 import { type Reply, type Route, type Router, retryLater } from "../http/server.js";
 import { shownLimit } from "../quota/limits.js";
@@ -8,25 +8,25 @@
 import { historyUpTo } from "./history.js";
 import type { LiveConfiguration } from "./live.js";
 import {
-  bytesOf,
   type Decision,
   isDecision,
   isOverrides,
   isRequestId,
-  MOST_AUTHOR,
-  MOST_TEXT,
+  jsonBytes,
+  MAX_AUTHOR_BYTES,
+  MAX_TEXT_BYTES,
 } from "./records.js";
 
 export const configurationPath = "/about/configuration";
 export const historyPath = "/about/configuration/history";
 
-/** How one controller stands to the newest revision. */
+/** Which revision one controller uses. */
 export interface ControllerRevision {
   node: string;
   present: boolean;
-  /** Parts that it holds. */
+  /** Number of parts that it owns. */
   parts: number;
-  /** By which it decides; null: it has not said. */
+  /** The revision in force there; null: it has not published one. */
   revision: number | null;
   refused: number | null;
 }
@@ -34,7 +34,7 @@
 /** The configuration as one controller sees it. */
 export interface ConfigurationView {
   node: string;
-  /** By which this controller decides. */
+  /** The revision in force at this controller. */
   revision: number;
   head: { revision: number; by: string; why: string; at: number } | null;
   teams: object[];
@@ -42,7 +42,7 @@
   controllers: ControllerRevision[];
 }
 
-export function viewOf(core: Core, live: LiveConfiguration): ConfigurationView {
+export function configurationView(core: Core, live: LiveConfiguration): ConfigurationView {
   const { settings } = core;
   const { revision, limits, guarantees, groups } = live.effective;
   const tree = new Map(groups.map((group) => [group.name, group]));
@@ -73,28 +73,28 @@
   }
   return layout.members.map(({ name }) => {
     const value = mirror.rows.get(keys.decision(name))?.value;
-    const said: Decision | null = isDecision(value) ? value : null;
+    const decision: Decision | null = isDecision(value) ? value : null;
     return {
       node: name,
       present: mirror.rows.has(keys.node(name)),
       parts: parts.get(name) ?? 0,
-      revision: said?.revision ?? null,
-      refused: said?.refused ?? null,
+      revision: decision?.revision ?? null,
+      refused: decision?.refused ?? null,
     };
   });
 }
 
-/** A request's fields, or what is wrong with them. */
+/** Parses a request; returns an error message if it is invalid. */
 function parseRequest(body: unknown): ChangeRequest | string {
-  if (!isMap(body)) return "the body is not a map";
+  if (!isMap(body)) return "body: expected a map";
   const { id, base, by, why, change, dryRun } = body;
-  if (!isRequestId(id)) return "id: expected letters and digits, at most 60";
+  if (!isRequestId(id)) return "id: expected 1 to 60 characters of 0-9, A-Z, a-z, _ and -";
   if (typeof base !== "number" || !Number.isSafeInteger(base) || base < 0)
-    return "base: expected a revision";
-  if (typeof by !== "string" || by === "" || bytesOf(by) > MOST_AUTHOR)
-    return `by: expected a name of at most ${MOST_AUTHOR} bytes`;
-  if (typeof why !== "string" || bytesOf(why) > MOST_TEXT)
-    return `why: expected at most ${MOST_TEXT} bytes`;
+    return "base: expected a revision number, 0 or more";
+  if (typeof by !== "string" || by === "" || jsonBytes(by) > MAX_AUTHOR_BYTES)
+    return `by: expected a name of at most ${MAX_AUTHOR_BYTES} bytes`;
+  if (typeof why !== "string" || jsonBytes(why) > MAX_TEXT_BYTES)
+    return `why: expected at most ${MAX_TEXT_BYTES} bytes`;
   if (!isOverrides(change)) return "change: expected teams and groups";
   return { id, base, by, why, change, dryRun: dryRun === true };
 }
@@ -117,7 +117,7 @@
   }
 }
 
-/** The path's routes, for the controller's router. */
+/** Finds the routes of the configuration's paths, for the controller's router. */
 export function configurationRouter(
   core: Core,
   live: LiveConfiguration,
@@ -129,15 +129,18 @@
     try {
       return replyOf(await author.apply(request));
     } catch (error) {
-      core.log.warn({ why: String(error) }, "change of configuration without answer");
-      return retryLater(503, "the state service did not answer: it may be made all the same");
+      core.log.warn(
+        { why: String(error) },
+        "result of a configuration change is not known; answering 503",
+      );
+      return retryLater(503, "the state service did not answer; the change may have been made");
     }
   };
   const routes = new Map<string, Route[]>([
     [
       configurationPath,
       [
-        { method: "GET", run: () => ({ status: 200, body: viewOf(core, live) }) },
+        { method: "GET", run: () => ({ status: 200, body: configurationView(core, live) }) },
         { method: "POST", run: ({ body }) => change(body) },
       ],
     ],
--- a/src/configuration/client.ts
+++ b/src/configuration/client.ts
@@ -1,4 +1,4 @@
-/** Asks a controller about the configuration, and tells it changes. */
+/** Client of the configuration's HTTP interface. */
 import { RequestRefused, Unanswered } from "../client/retry.js";
 import { type Clock, sleep, systemClock } from "../clock.js";
 import { type Answer, type Caller, HttpClient, NoAnswer } from "../http/client.js";
@@ -12,12 +12,12 @@
 import type { ChangeRequest } from "./author.js";
 import type { HistoryEntry } from "./records.js";
 
-const TIMEOUT_MS = 5000;
-const RETRY_MS = 1000;
-const PATIENCE_MS = 30_000;
-const POLL_MS = 250;
+const REQUEST_TIMEOUT_MS = 5000;
+const RETRY_INTERVAL_MS = 1000;
+const RETRY_PERIOD_MS = 30_000;
+const POLL_INTERVAL_MS = 250;
 
-/** A change was overtaken by another author's. */
+/** The change is based on an old revision: another author made a newer one. */
 export class Overtaken extends Error {
   constructor(
     readonly revision: number,
@@ -28,11 +28,11 @@
   }
 }
 
-/** A change that the controller finds something wrong with. */
+/** The controller rejected the change as invalid. */
 export class ChangeRefused extends Error {
   constructor(
-    /** The team or group that it is about. */
-    readonly about: string,
+    /** The team or group with the error; empty if it concerns neither. */
+    readonly subject: string,
     reason: string,
   ) {
     super(reason);
@@ -46,7 +46,7 @@
   warnings: string[];
 }
 
-/** Those that hold a part and do not decide by a revision yet. */
+/** Controllers that own parts and use a revision older than the given one. */
 export const lagging = (view: ConfigurationView, revision: number): ControllerRevision[] =>
   view.controllers.filter(({ parts, revision: by }) => parts > 0 && (by ?? 0) < revision);
 
@@ -78,7 +78,7 @@
   async #get(path: string): Promise<unknown> {
     let answer: Answer;
     try {
-      answer = await this.#caller.call("GET", path, undefined, TIMEOUT_MS);
+      answer = await this.#caller.call("GET", path, undefined, REQUEST_TIMEOUT_MS);
     } catch (error) {
       if (error instanceof NoAnswer) throw new Unanswered(error.message);
       throw error;
@@ -88,38 +88,42 @@
   }
 
   /**
-   * Asked again with the same id until there is a final answer, so it is made once at the most.
+   * Applies a change; retries with the same id until there is a final answer, so that the change is
+   * made at most once.
    * @throws Overtaken, ChangeRefused, Unanswered
    */
   async apply(request: ChangeRequest): Promise<ChangeAnswer> {
-    const until = this.clock.now() + PATIENCE_MS;
+    const deadline = this.clock.now() + RETRY_PERIOD_MS;
     for (;;) {
       const { status, body } = await this.#caller
-        .call("POST", configurationPath, request, TIMEOUT_MS)
+        .call("POST", configurationPath, request, REQUEST_TIMEOUT_MS)
         .catch((error: unknown): Answer => {
           if (!(error instanceof NoAnswer)) throw error;
           return { status: 0, body: { error: error.message } };
         });
-      const said = isMap(body) ? body : {};
-      if (status === 200) return said as unknown as ChangeAnswer;
+      const fields = isMap(body) ? body : {};
+      if (status === 200) return fields as unknown as ChangeAnswer;
       if (status === 409)
-        throw new Overtaken(Number(said.revision), String(said.by), Number(said.at));
-      if (status === 422) throw new ChangeRefused(String(said.name), String(said.error));
-      const why = String(said.error ?? `status ${status}`);
+        throw new Overtaken(Number(fields.revision), String(fields.by), Number(fields.at));
+      if (status === 422) throw new ChangeRefused(String(fields.name), String(fields.error));
+      const why = String(fields.error ?? `status ${status}`);
       if (status === 400 || status === 404) throw new ChangeRefused("", why);
-      if (this.clock.now() + RETRY_MS > until) throw new Unanswered(why);
-      await sleep(this.clock, RETRY_MS);
+      if (this.clock.now() + RETRY_INTERVAL_MS > deadline) throw new Unanswered(why);
+      await sleep(this.clock, RETRY_INTERVAL_MS);
     }
   }
 
-  /** Resolves with nobody once all that hold parts decide by a revision, else after a time with who does not. */
-  async inForce(revision: number, withinMs: number): Promise<ControllerRevision[]> {
-    const until = this.clock.now() + withinMs;
+  /**
+   * Waits until all controllers that own parts use a revision; resolves with an empty list then, or
+   * with those that do not after `withinMs`.
+   */
+  async waitUntilInForce(revision: number, withinMs: number): Promise<ControllerRevision[]> {
+    const deadline = this.clock.now() + withinMs;
     for (;;) {
       const view = await this.view();
-      const late = lagging(view, revision);
-      if (late.length === 0 || this.clock.now() >= until) return late;
-      await sleep(this.clock, POLL_MS);
+      const behind = lagging(view, revision);
+      if (behind.length === 0 || this.clock.now() >= deadline) return behind;
+      await sleep(this.clock, POLL_INTERVAL_MS);
     }
   }
 }
--- a/src/configuration/commands.ts
+++ b/src/configuration/commands.ts
@@ -4,18 +4,18 @@
 import { userInfo } from "node:os";
 import { Command, InvalidArgumentError } from "commander";
 import { RequestRefused, Unanswered } from "../client/retry.js";
-import { lineOf } from "../errors.js";
+import { describeErrorWithPath } from "../errors.js";
 import { SettingsError } from "../settings/settings.js";
 import type { ConfigurationView, ControllerRevision } from "./api.js";
 import { ChangeRefused, ConfigurationClient, lagging, Overtaken } from "./client.js";
 import { type ChangeFile, readChange } from "./file.js";
 
-/** Exit codes: a change that is not made or not in force; wrong use or file; nobody answered. */
-const FAILED = 1;
-const USAGE = 2;
-const NOBODY = 3;
-/** Seconds that `--wait` gives a revision. */
-const WITHIN_S = 14;
+/** Exit codes: change not made or not in force; wrong usage or file; no controller answered. */
+const EXIT_FAILED = 1;
+const EXIT_USAGE = 2;
+const EXIT_NO_ANSWER = 3;
+/** Default of `--within`: how long `--wait` waits for a revision to be in force, in seconds. */
+const DEFAULT_WAIT_S = 14;
 
 interface CommonOptions {
   node: string;
@@ -33,15 +33,17 @@
 
 type Write = (text: string) => void;
 
-function positive(text: string): number {
+function parsePositive(text: string): number {
   const value = Number(text);
-  if (!Number.isFinite(value) || value <= 0) throw new InvalidArgumentError("not above 0");
+  if (!Number.isFinite(value) || value <= 0)
+    throw new InvalidArgumentError("expected a number above 0");
   return value;
 }
 
-function revision(text: string): number {
+function parseRevision(text: string): number {
   const value = Number(text);
-  if (!Number.isSafeInteger(value) || value < 0) throw new InvalidArgumentError("not a revision");
+  if (!Number.isSafeInteger(value) || value < 0)
+    throw new InvalidArgumentError("expected a revision number, 0 or more");
   return value;
 }
 
@@ -53,7 +55,7 @@
   return `${node}: ${decides}${why}, holds ${parts} parts${present ? "" : ", is not there"}`;
 }
 
-/** Runs with a client; errors become one line and an exit code. */
+/** Runs a command with a client; reports an error as one line and an exit code. */
 async function withClient(
   command: Command,
   { node }: CommonOptions,
@@ -65,10 +67,11 @@
   try {
     await run(client);
   } catch (error) {
-    if (error instanceof SettingsError) fail(error.message, USAGE);
-    if (error instanceof Overtaken || error instanceof ChangeRefused) fail(error.message, FAILED);
-    if (error instanceof Unanswered) fail(`${node}: ${error.message}`, NOBODY);
-    if (error instanceof RequestRefused) fail(`${node}: ${error.message}`, FAILED);
+    if (error instanceof SettingsError) fail(error.message, EXIT_USAGE);
+    if (error instanceof Overtaken || error instanceof ChangeRefused)
+      fail(error.message, EXIT_FAILED);
+    if (error instanceof Unanswered) fail(`${node}: ${error.message}`, EXIT_NO_ANSWER);
+    if (error instanceof RequestRefused) fail(`${node}: ${error.message}`, EXIT_FAILED);
     throw error;
   } finally {
     client.close();
@@ -81,7 +84,9 @@
     text = readFileSync(file === "-" ? 0 : file, "utf8");
   } catch (error) {
     throw new SettingsError(
-      lineOf(error).includes(file) ? lineOf(error) : `${file}: ${lineOf(error)}`,
+      describeErrorWithPath(error).includes(file)
+        ? describeErrorWithPath(error)
+        : `${file}: ${describeErrorWithPath(error)}`,
     );
   }
   return readChange({ file, text });
@@ -105,27 +110,28 @@
     dryRun: options.dryRun === true,
   };
   const answer = await client.apply(request).catch((error: unknown) => {
-    // What only the platform's settings show to be wrong stands in the file all the same.
-    if (error instanceof ChangeRefused && error.about !== "") refuse(error.message, error.about);
+    // Errors that only the controller can detect are reported with file and line as well.
+    if (error instanceof ChangeRefused && error.subject !== "")
+      refuse(error.message, error.subject);
     throw error;
   });
-  const late =
+  const behind =
     options.wait === true && answer.kind === "applied"
-      ? await client.inForce(answer.revision, options.within * 1000)
+      ? await client.waitUntilInForce(answer.revision, options.within * 1000)
       : [];
-  const since = late.length === 0 ? null : ((await client.view()).head?.at ?? null);
-  if (options.json === true) write(`${JSON.stringify({ ...answer, lagging: late, since })}\n`);
+  const since = behind.length === 0 ? null : ((await client.view()).head?.at ?? null);
+  if (options.json === true) write(`${JSON.stringify({ ...answer, lagging: behind, since })}\n`);
   else {
-    const made = answer.kind === "applied" ? "is made" : "would be made";
+    const outcome = answer.kind === "applied" ? "is made" : "would be made";
     for (const line of answer.changes) write(`${line}\n`);
     for (const line of answer.warnings) write(`warning: ${line}\n`);
-    write(`revision ${answer.revision} ${made}\n`);
-    if (options.wait === true && answer.kind === "applied" && late.length === 0)
+    write(`revision ${answer.revision} ${outcome}\n`);
+    if (options.wait === true && answer.kind === "applied" && behind.length === 0)
       write("in force: all that hold parts decide by it\n");
-    for (const one of late)
+    for (const one of behind)
       write(`not in force: ${describe(one)}${since === null ? "" : `, since ${timeOf(since)}`}\n`);
   }
-  if (late.length > 0) process.exitCode = FAILED;
+  if (behind.length > 0) process.exitCode = EXIT_FAILED;
 }
 
 function shownTeams({ revision: by, head, teams, groups }: ConfigurationView): string {
@@ -138,63 +144,68 @@
   return lines.join("\n");
 }
 
-/** @param parent the program's command, whose output settings it shares */
+/** @param parent the program's command, whose output settings are inherited */
 export function configurationCommands(
   parent: Command,
   write: Write = (text) => process.stdout.write(text),
 ): Command {
   const config = new Command("config")
     .copyInheritedSettings(parent)
-    .description("teams' guarantees, limits and weights, and groups, changed while serving");
+    .description("read and change teams' guarantees, limits and weights, and groups, at run time");
   const command = (name: string, description: string): Command =>
     config
       .command(name)
       .description(description)
       .requiredOption("--node <host:port>", "a controller")
       .option("--json", "print JSON");
-  const show = command("show", "what is in force, as one controller sees it").action(
+  const show = command("show", "show the configuration in force at one controller").action(
     (options: CommonOptions) =>
       withClient(show, options, async (client) => {
         const view = await client.view();
         write(options.json === true ? `${JSON.stringify(view)}\n` : `${shownTeams(view)}\n`);
       }),
   );
-  const change = command("apply", "make a revision; what the file does not name stays as it is")
+  const change = command(
+    "apply",
+    "make a revision; fields that the file does not name stay unchanged",
+  )
     .argument("<file>", "teams and groups as protobuf text (- for standard input)")
-    .option("--wait", "until all controllers that hold parts decide by it")
-    .option("--within <seconds>", "how long --wait waits", positive, WITHIN_S)
+    .option("--wait", "wait until all controllers that own parts use it")
+    .option("--within <seconds>", "how long --wait waits", parsePositive, DEFAULT_WAIT_S)
     .option("--dry-run", "print what would change, and change nothing")
-    .option("--why <text>", "kept in the history", "")
-    .option("--by <name>", "who makes it; without it, the user of this machine")
-    .option("--base <revision>", "only if this is still the newest one", revision)
+    .option("--why <text>", "the reason, kept in the history", "")
+    .option("--by <name>", "author in the history; by default the user of this machine")
+    .option("--base <revision>", "apply only if this is still the newest revision", parseRevision)
     .action((file: string, options: ApplyOptions) =>
       withClient(change, options, (client) => apply(client, file, options, write)),
     );
-  const history = command("history", "who set what, when and why").action(
-    (options: CommonOptions) =>
-      withClient(history, options, async (client) => {
-        const entries = await client.history();
-        if (options.json === true) return write(`${JSON.stringify(entries)}\n`);
-        if (entries.length === 0) write("no revision has been made\n");
-        for (const { revision: number, by, at, why, changes } of entries) {
-          write(`revision ${number}, by ${by}, ${timeOf(at)}: ${why}\n`);
-          for (const line of changes) write(`  ${line}\n`);
-        }
-      }),
+  const history = command(
+    "history",
+    "show past revisions: author, time, reason and changes",
+  ).action((options: CommonOptions) =>
+    withClient(history, options, async (client) => {
+      const entries = await client.history();
+      if (options.json === true) return write(`${JSON.stringify(entries)}\n`);
+      if (entries.length === 0) write("no revision has been made\n");
+      for (const { revision: number, by, at, why, changes } of entries) {
+        write(`revision ${number}, by ${by}, ${timeOf(at)}: ${why}\n`);
+        for (const line of changes) write(`  ${line}\n`);
+      }
+    }),
   );
-  const status = command("status", "by which revision each controller decides").action(
+  const status = command("status", "show which revision each controller uses").action(
     (options: CommonOptions) =>
       withClient(status, options, async (client) => {
         const view = await client.view();
         const newest = view.head?.revision ?? 0;
-        const late = lagging(view, newest);
+        const behind = lagging(view, newest);
         if (options.json === true)
           write(`${JSON.stringify({ revision: newest, controllers: view.controllers })}\n`);
         else {
           write(`revision ${newest}\n`);
           for (const one of view.controllers) write(`${describe(one)}\n`);
         }
-        if (late.length > 0) process.exitCode = FAILED;
+        if (behind.length > 0) process.exitCode = EXIT_FAILED;
       }),
   );
   return config;
--- a/src/configuration/effective.ts
+++ b/src/configuration/effective.ts
@@ -1,29 +1,35 @@
-/** What holds under a revision: pure functions on the platform's settings and the overrides. */
+/**
+ * The configuration in force under a revision: pure functions of the platform's settings and the
+ * overrides.
+ */
 import { type Amounts, addAmounts, type Group, ROOT } from "../fair/share.js";
 import { isLimited, shownLimit } from "../quota/limits.js";
 import type { Team } from "../settings/settings.js";
 import type { ConfiguredAmounts, ConfiguredGroup, ConfiguredTeam, Overrides } from "./records.js";
 
-/** What a controller starts with: the platform's teams, and the tree that the files at start make. */
+/**
+ * The configuration at start: the platform's teams, and the tree of groups from the operators'
+ * settings.
+ */
 export interface BaseConfiguration {
   teams: readonly Team[];
-  /** Names of packages' teams, which the platform does not list. */
-  guests: readonly string[];
+  /** Names of the teams of packages, which are not in the platform's settings. */
+  packageTeams: readonly string[];
   groups: readonly Group[];
 }
 
-/** What decisions go by. Never changed in place: a new revision makes a new one. */
+/** The configuration in force. Immutable: each revision creates a new one. */
 export interface EffectiveConfiguration {
-  /** 0: none has been made, all is as at start. */
+  /** 0: no revision has been made; the configuration is that at start. */
   revision: number;
   limits: ReadonlyMap<string, Amounts>;
   guarantees: ReadonlyMap<string, Amounts>;
-  /** For a tree of shares. */
+  /** Input for a `ShareTree`. */
   groups: Group[];
 }
 
-/** Something that an author has to mend, and the name that it is about. */
-export interface ConfigurationFault {
+/** An error in overrides, with the team or group that it concerns. */
+export interface ConfigurationProblem {
   name: string;
   reason: string;
 }
@@ -31,12 +37,15 @@
 const RESOURCES = ["cpus", "gpus"] as const;
 const LABELS = { cpus: "CPUs", gpus: "GPUs" } as const;
 
-const overlay = (base: Amounts, set: ConfiguredAmounts | undefined): Amounts => ({
+const withOverrides = (base: Amounts, set: ConfiguredAmounts | undefined): Amounts => ({
   cpus: set?.cpus ?? base.cpus,
   gpus: set?.gpus ?? base.gpus,
 });
 
-/** What a change makes of what was set before: fields that it names replace those of the same name. */
+/**
+ * Merges a change into earlier overrides: fields that it names replace those of the same team or
+ * group.
+ */
 export function merge(before: Overrides, change: Overrides): Overrides {
   const teams = new Map(before.teams.map((team) => [team.name, team]));
   for (const team of change.teams) {
@@ -54,52 +63,56 @@
   return { teams: [...teams.values()], groups: [...groups.values()] };
 }
 
-/** The first thing that is wrong with overrides on this platform, or null. */
-export function faultOf(base: BaseConfiguration, overrides: Overrides): ConfigurationFault | null {
+/** The first error in overrides on this platform, or null. */
+export function configurationProblem(
+  base: BaseConfiguration,
+  overrides: Overrides,
+): ConfigurationProblem | null {
   const platform = new Map(base.teams.map((team) => [team.name, team]));
   for (const team of overrides.teams) {
     const known = platform.get(team.name);
     if (known === undefined)
       return { name: team.name, reason: `the platform has no team ${team.name}` };
-    const reason = limitFault(team, known);
+    const reason = limitError(team, known);
     if (reason !== null) return { name: team.name, reason };
   }
-  return groupFault(base, overrides);
+  return groupError(base, overrides);
 }
 
-function limitFault({ name, limit }: ConfiguredTeam, platform: Team): string | null {
-  const most = { cpus: platform.cpus_max, gpus: platform.gpus_max };
+function limitError({ name, limit }: ConfiguredTeam, platform: Team): string | null {
+  const platformLimits = { cpus: platform.cpus_max, gpus: platform.gpus_max };
   for (const resource of RESOURCES) {
-    const asked = limit?.[resource];
-    if (asked === undefined) continue;
+    const requested = limit?.[resource];
+    if (requested === undefined) continue;
     const label = LABELS[resource];
-    if (!isLimited(most[resource]))
+    if (!isLimited(platformLimits[resource]))
       return `${name}: has no limit of ${label} on the platform, and none can be set while serving`;
-    if (asked > most[resource])
-      return `${name}: a limit of ${asked} ${label} is above the platform's, ${most[resource]}`;
-    if (asked === 0) return `${name}: a limit of 0 ${label} would mean none; the least is above 0`;
+    if (requested > platformLimits[resource])
+      return `${name}: a limit of ${requested} ${label} is above the platform's, ${platformLimits[resource]}`;
+    if (requested === 0)
+      return `${name}: a limit of 0 ${label} would mean no limit; expected more than 0`;
   }
   return null;
 }
 
-function groupFault(base: BaseConfiguration, overrides: Overrides): ConfigurationFault | null {
+function groupError(base: BaseConfiguration, overrides: Overrides): ConfigurationProblem | null {
   const teams = new Set(base.teams.map(({ name }) => name));
-  const leaves = new Set(leavesOf(base).map(({ name }) => name));
+  const leafNames = new Set(teamLeaves(base).map(({ name }) => name));
   const parents = new Map<string, string>();
   for (const { name, parent } of base.groups) {
-    if (parent !== null && !leaves.has(name)) parents.set(name, parent);
+    if (parent !== null && !leafNames.has(name)) parents.set(name, parent);
   }
   for (const { name, parent } of overrides.groups) {
-    if (leaves.has(name)) return { name, reason: `${name} is the name of a team` };
+    if (leafNames.has(name)) return { name, reason: `${name} is the name of a team` };
     parents.set(name, parent ?? ROOT);
   }
   for (const [name, parent] of parents) {
     if (parent !== ROOT && !parents.has(parent))
       return { name, reason: `${name}: unknown parent ${parent}` };
     const seen = new Set([name]);
-    for (let at = parent; at !== ROOT; at = parents.get(at) ?? ROOT) {
-      if (seen.has(at)) return { name, reason: `group ${name} is inside itself` };
-      seen.add(at);
+    for (let ancestor = parent; ancestor !== ROOT; ancestor = parents.get(ancestor) ?? ROOT) {
+      if (seen.has(ancestor)) return { name, reason: `group ${name} is inside itself` };
+      seen.add(ancestor);
     }
   }
   for (const { name, group } of overrides.teams) {
@@ -109,54 +122,58 @@
   return null;
 }
 
-/** Teams and guests in the tree; all others in it are groups. */
-function leavesOf({ teams, guests, groups }: BaseConfiguration): Group[] {
-  const named = new Set([...teams.map(({ name }) => name), ...guests]);
-  return groups.filter(({ name }) => named.has(name));
+/** Teams in the tree, those of packages included; all other entries are groups. */
+function teamLeaves({ teams, packageTeams, groups }: BaseConfiguration): Group[] {
+  const teamNames = new Set([...teams.map(({ name }) => name), ...packageTeams]);
+  return groups.filter(({ name }) => teamNames.has(name));
 }
 
-/** What holds under overrides that `faultOf` finds nothing wrong with. */
-export function effectiveOf(
+/** The configuration under overrides that passed `configurationProblem`. */
+export function effectiveConfiguration(
   base: BaseConfiguration,
   overrides: Overrides,
   revision: number,
 ): EffectiveConfiguration {
-  const set = new Map(overrides.teams.map((team) => [team.name, team]));
+  const overridesByTeam = new Map(overrides.teams.map((team) => [team.name, team]));
   const limits = new Map<string, Amounts>();
   const guarantees = new Map<string, Amounts>();
   for (const { name, cpus, cpus_max, gpus, gpus_max } of base.teams) {
-    const own = set.get(name);
-    guarantees.set(name, overlay({ cpus, gpus }, own?.guarantee));
-    limits.set(name, overlay({ cpus: cpus_max, gpus: gpus_max }, own?.limit));
+    const own = overridesByTeam.get(name);
+    guarantees.set(name, withOverrides({ cpus, gpus }, own?.guarantee));
+    limits.set(name, withOverrides({ cpus: cpus_max, gpus: gpus_max }, own?.limit));
   }
-  return { revision, limits, guarantees, groups: treeOf(base, overrides, guarantees) };
+  return { revision, limits, guarantees, groups: buildTree(base, overrides, guarantees) };
 }
 
-function treeOf(
+function buildTree(
   base: BaseConfiguration,
   overrides: Overrides,
   guarantees: ReadonlyMap<string, Amounts>,
 ): Group[] {
-  const leaves = new Map(leavesOf(base).map((leaf) => [leaf.name, leaf]));
+  const leaves = new Map(teamLeaves(base).map((leaf) => [leaf.name, leaf]));
   const groups = new Map<string, Group>();
   const zero = (): Amounts => ({ cpus: 0, gpus: 0 });
   for (const group of base.groups) {
     if (!leaves.has(group.name)) groups.set(group.name, { ...group, nominal: zero() });
   }
   for (const group of overrides.groups) groups.set(group.name, configuredGroup(group));
-  const set = new Map(overrides.teams.map((team) => [team.name, team]));
-  const placed: Group[] = [];
+  const overridesByTeam = new Map(overrides.teams.map((team) => [team.name, team]));
+  const placedTeams: Group[] = [];
   for (const leaf of leaves.values()) {
-    const own = set.get(leaf.name);
+    const own = overridesByTeam.get(leaf.name);
     const nominal = guarantees.get(leaf.name) ?? leaf.nominal;
     const parent = own?.group ?? leaf.parent ?? ROOT;
-    placed.push({ ...leaf, parent, weight: own?.weight ?? leaf.weight, nominal });
-    for (let at: string | null = parent; at !== null; at = groups.get(at)?.parent ?? null) {
-      const group = groups.get(at);
+    placedTeams.push({ ...leaf, parent, weight: own?.weight ?? leaf.weight, nominal });
+    for (
+      let ancestor: string | null = parent;
+      ancestor !== null;
+      ancestor = groups.get(ancestor)?.parent ?? null
+    ) {
+      const group = groups.get(ancestor);
       if (group !== undefined) group.nominal = addAmounts(group.nominal, nominal);
     }
   }
-  return [...groups.values(), ...placed];
+  return [...groups.values(), ...placedTeams];
 }
 
 const configuredGroup = ({ name, parent, weight, lending }: ConfiguredGroup): Group => ({
@@ -169,18 +186,21 @@
     : { lending: { cpus: lending.cpus ?? 0, gpus: lending.gpus ?? 0 } }),
 });
 
-const shown = (amounts: Amounts | undefined): string => {
+const formatAmounts = (amounts: Amounts | undefined): string => {
   const { cpus, gpus } = shownLimit(amounts ?? { cpus: 0, gpus: 0 });
   return `${cpus ?? "any"} CPUs, ${gpus ?? "any"} GPUs`;
 };
 
-/** What differs between two configurations, a line each. */
+/** The differences between two configurations, one line each. */
 export function differences(from: EffectiveConfiguration, to: EffectiveConfiguration): string[] {
   const lines: string[] = [];
   for (const [name, limit] of to.limits) {
-    const [before, after] = [shown(from.limits.get(name)), shown(limit)];
+    const [before, after] = [formatAmounts(from.limits.get(name)), formatAmounts(limit)];
     if (before !== after) lines.push(`team ${name}: limit ${before} -> ${after}`);
-    const [old, now] = [shown(from.guarantees.get(name)), shown(to.guarantees.get(name))];
+    const [old, now] = [
+      formatAmounts(from.guarantees.get(name)),
+      formatAmounts(to.guarantees.get(name)),
+    ];
     if (old !== now) lines.push(`team ${name}: guarantee ${old} -> ${now}`);
   }
   const before = new Map(from.groups.map((group) => [group.name, group]));
@@ -193,12 +213,14 @@
     if (old !== undefined && old.weight !== weight)
       lines.push(`${kind} ${name}: weight ${old.weight} -> ${weight}`);
     if (old !== undefined && JSON.stringify(old.lending) !== JSON.stringify(lending))
-      lines.push(`${kind} ${name}: lending ${lending === undefined ? "all" : shown(lending)}`);
+      lines.push(
+        `${kind} ${name}: lending ${lending === undefined ? "all" : formatAmounts(lending)}`,
+      );
   }
   return lines;
 }
 
-/** What an author should know about what is taken all the same; `capacity` null: not known. */
+/** Warnings about a valid configuration; `capacity` is null if not known. */
 export function warningsOf(
   { limits, guarantees }: EffectiveConfiguration,
   capacity: Amounts | null,
--- a/src/configuration/file.ts
+++ b/src/configuration/file.ts
@@ -1,13 +1,15 @@
-/** A change of configuration as operators write it: protobuf text, as in the files at start. */
+/** Reads a configuration change from protobuf text, the format of the operators' settings. */
 import { parseSources, type Raw, type Refuse, type Source } from "../settings/tuning.js";
 import { isGroup, isTeam, type Overrides } from "./records.js";
 
-/** What may stand in such a file. */
-const CHANGEABLE = new Set(["team", "group"]);
+/** The fields allowed in such a file. */
+const CHANGEABLE_FIELDS = new Set(["team", "group"]);
 
 export interface ChangeFile {
   change: Overrides;
-  /** Ends with file, line and reason; for what only a controller can find wrong. */
+  /**
+   * Throws a `SettingsError` with file, line and reason; for errors that only a controller detects.
+   */
   refuse: Refuse;
 }
 
@@ -15,7 +17,7 @@
 export function readChange(source: Source): ChangeFile {
   const { raw, refuse } = parseSources([source], []);
   for (const field of Object.keys(raw)) {
-    if (!CHANGEABLE.has(field))
+    if (!CHANGEABLE_FIELDS.has(field))
       refuse(`${field} cannot be changed while serving; teams and groups can`, field);
   }
   const { team: teams = [], group: groups = [] }: Raw = raw;
--- a/src/configuration/history.ts
+++ b/src/configuration/history.ts
@@ -1,12 +1,12 @@
-/** The revisions that are kept, for people and to know requests that were carried out before. */
+/** The history of revisions, for display and to recognise repeated requests. */
 import { keys } from "../state/keys.js";
 import type { Mirror } from "../state/mirror.js";
 import { type HistoryEntry, isHistoryEntry } from "./records.js";
 
-/** Revisions whose entries are kept. */
+/** Number of revisions whose entries are kept. */
 export const HISTORY_LENGTH = 50;
 
-/** The entries up to a revision, the oldest first; those that cannot be read are left out. */
+/** The entries up to a revision, oldest first; unreadable ones are left out. */
 export function historyUpTo(mirror: Pick<Mirror, "rows">, newest: number): HistoryEntry[] {
   const entries: HistoryEntry[] = [];
   const oldest = Math.max(1, newest - HISTORY_LENGTH + 1);
--- a/src/configuration/index.ts
+++ b/src/configuration/index.ts
@@ -1,22 +1,22 @@
 /**
- * Configuration that changes while serving: numbered revisions of teams' guarantees, limits and
- * weights, and of groups, kept in the state service and followed by every controller.
+ * Configuration that can be changed at run time: numbered revisions of teams' guarantees, limits
+ * and weights, and of groups, kept in the state service and followed by every controller.
  */
 export {
   type ConfigurationView,
   type ControllerRevision,
   configurationPath,
   configurationRouter,
-  viewOf,
+  configurationView,
 } from "./api.js";
 export { Author, type ChangeRequest, type ChangeResult } from "./author.js";
 export { ConfigurationClient, Overtaken } from "./client.js";
 export {
   type BaseConfiguration,
+  configurationProblem,
   differences,
   type EffectiveConfiguration,
-  effectiveOf,
-  faultOf,
+  effectiveConfiguration,
   merge,
   warningsOf,
 } from "./effective.js";
@@ -24,12 +24,12 @@
 export {
   type ConfiguredGroup,
   type ConfiguredTeam,
-  divide,
   isDecision,
   isHead,
   isHistoryEntry,
   isOverrides,
-  join,
+  joinPieces,
   NO_OVERRIDES,
   type Overrides,
+  splitIntoPieces,
 } from "./records.js";
--- a/src/configuration/live.ts
+++ b/src/configuration/live.ts
@@ -1,4 +1,4 @@
-/** Follows the revisions in the watched keys, and says which one this controller decides by. */
+/** Follows the revisions in the watched keys, and publishes which one this controller uses. */
 import type { Clock } from "../clock.js";
 import type { Log } from "../log.js";
 import { keys } from "../state/keys.js";
@@ -6,10 +6,10 @@
 import type { Condition, Store } from "../state/store.js";
 import {
   type BaseConfiguration,
+  configurationProblem,
   differences,
   type EffectiveConfiguration,
-  effectiveOf,
-  faultOf,
+  effectiveConfiguration,
 } from "./effective.js";
 import {
   type Decision,
@@ -17,24 +17,26 @@
   isDecision,
   isHead,
   isOverrides,
-  join,
+  joinPieces,
   NO_OVERRIDES,
   type Overrides,
   type Piece,
 } from "./records.js";
 
-/** Lines of a change that are logged. */
-const LOGGED = 20;
+/** Most lines of a change that are logged. */
+const MAX_LOGGED_CHANGES = 20;
 
-/** What decisions of an owner depend on. */
+/** The configuration on which a part's decisions are based. */
 export interface DecidingBy {
-  /** Current limits; a new map with each revision. */
+  /** Current limits; each revision creates a new map. */
   readonly limits: EffectiveConfiguration["limits"];
-  /** What a commit that places tasks or changes slices depends on: the revision decided by. */
+  /** Condition for commits that place tasks or change slices: the revision in use is the newest. */
   condition(): Condition;
-  /** Whether there has been a revision at all. */
+  /** Whether any revision has been made. */
   readonly revised: boolean;
-  /** False while there is a newer revision that this controller cannot use: nothing grows then. */
+  /**
+   * False while there is a newer revision that this controller cannot use: no use may grow then.
+   */
   readonly current: boolean;
 }
 
@@ -46,31 +48,31 @@
   log: Log;
   node: string;
   run: string;
-  /** Of this controller; what it says of itself ends with it. */
+  /** This controller's lease; the published decision is attached to it. */
   lease(): number | string | null;
-  /** Milliseconds that a head's pieces may be missing before the revision is refused. */
-  patienceMs: number;
-  /** How often what this controller says of itself is looked at. */
-  sayMs: number;
-  /** A revision is in force here. */
-  changed(effective: EffectiveConfiguration): void;
+  /** How long a head's pieces may be missing before the revision is refused. */
+  missingPiecesTimeoutMs: number;
+  /** Interval at which the head and the published decision are checked. */
+  publishIntervalMs: number;
+  /** Called when a revision comes into force. */
+  onChange(effective: EffectiveConfiguration): void;
 }
 
 export class LiveConfiguration implements DecidingBy {
   #effective: EffectiveConfiguration;
   #overrides: Overrides = NO_OVERRIDES;
-  /** Version of the head that is decided by, or that was refused. */
-  #stamp = 0;
-  #refused: number | null = null;
+  /** Version of the head record that is in force or was refused; 0: none yet. */
+  #headVersion = 0;
+  #refusedRevision: number | null = null;
   #missingSince: number | null = null;
   #head: Head | null = null;
-  #saying = false;
+  #publishing = false;
   #stopped = false;
 
   constructor(readonly options: LiveOptions) {
-    this.#effective = effectiveOf(options.base, NO_OVERRIDES, 0);
-    // Pieces come before their head, but a listing may find them in any order.
-    options.mirror.on(keys.configuration(""), () => this.#follow());
+    this.#effective = effectiveConfiguration(options.base, NO_OVERRIDES, 0);
+    // Pieces are written before their head, but a listing may return them in any order.
+    options.mirror.on(keys.configuration(""), () => this.#update());
   }
 
   get effective(): EffectiveConfiguration {
@@ -81,7 +83,7 @@
     return this.#overrides;
   }
 
-  /** The newest revision that was heard of; null: none was ever made. */
+  /** The head of the newest known revision; null: none was made. */
   get head(): Head | null {
     return this.#head;
   }
@@ -91,62 +93,63 @@
   }
 
   get revised(): boolean {
-    return this.#stamp > 0;
+    return this.#headVersion > 0;
   }
 
   get current(): boolean {
-    return this.#refused === null;
+    return this.#refusedRevision === null;
   }
 
   condition(): Condition {
-    return { key: keys.configurationHead, version: this.#stamp };
+    return { key: keys.configurationHead, version: this.#headVersion };
   }
 
   start(): void {
-    const { clock, sayMs } = this.options;
-    const look = (): void => {
+    const { clock, publishIntervalMs: sayMs } = this.options;
+    const tick = (): void => {
       if (this.#stopped) return;
-      this.#follow();
-      void this.#say();
-      clock.after(sayMs, look);
+      this.#update();
+      void this.#publishDecision();
+      clock.after(sayMs, tick);
     };
-    clock.after(sayMs, look);
-    void this.options.mirror.waitForRevision(0).then(() => this.#follow());
+    clock.after(sayMs, tick);
+    void this.options.mirror.waitForRevision(0).then(() => this.#update());
   }
 
   stop(): void {
     this.#stopped = true;
   }
 
-  #follow(): void {
-    const { mirror, clock, patienceMs } = this.options;
-    // In the middle of a listing, slices may still be as they were before a revision that is here.
+  #update(): void {
+    const { mirror, clock, missingPiecesTimeoutMs: patienceMs } = this.options;
+    // During a listing, slices in memory may be older than a revision already read.
     if (!mirror.ready) return;
     const row = mirror.rows.get(keys.configurationHead);
-    if (row === undefined || row.version === this.#stamp) return;
+    if (row === undefined || row.version === this.#headVersion) return;
     if (!isHead(row.value)) {
-      this.#refuse(row.version, null, "it cannot be read");
+      this.#refuse(row.version, null, "the head record is not readable");
       return;
     }
     this.#head = row.value;
-    const overrides = this.#contentOf(row.value);
+    const overrides = this.#readOverrides(row.value);
     if (overrides === "missing") {
-      // Until they are here the old condition holds, which the store refuses: nothing is placed.
+      // Until the pieces arrive, commits keep the old condition, which the store refuses: nothing
+      // is placed.
       this.#missingSince ??= clock.now();
       if (clock.now() - this.#missingSince < patienceMs) return;
-      this.#refuse(row.version, row.value, "pieces of it are missing");
+      this.#refuse(row.version, row.value, "pieces of the revision are missing");
       return;
     }
     if (overrides === "unreadable") {
-      this.#refuse(row.version, row.value, "pieces of it cannot be read");
+      this.#refuse(row.version, row.value, "pieces of the revision are not readable");
       return;
     }
-    const fault = faultOf(this.options.base, overrides);
+    const fault = configurationProblem(this.options.base, overrides);
     if (fault !== null) this.#refuse(row.version, row.value, fault.reason);
-    else this.#use(row.version, row.value, overrides);
+    else this.#activate(row.version, row.value, overrides);
   }
 
-  #contentOf({ id, pieces }: Head): Overrides | "missing" | "unreadable" {
+  #readOverrides({ id, pieces }: Head): Overrides | "missing" | "unreadable" {
     const found: Piece[] = [];
     for (let number = 0; number < pieces; number++) {
       const row = this.options.mirror.rows.get(keys.configurationPiece(id, number));
@@ -154,60 +157,61 @@
       if (!isOverrides(row.value)) return "unreadable";
       found.push(row.value);
     }
-    return join(found);
+    return joinPieces(found);
   }
 
-  #use(stamp: number, head: Head, overrides: Overrides): void {
-    const { base, log, changed } = this.options;
+  #activate(stamp: number, head: Head, overrides: Overrides): void {
+    const { base, log, onChange: changed } = this.options;
     const before = this.#effective;
-    this.#effective = effectiveOf(base, overrides, head.revision);
+    this.#effective = effectiveConfiguration(base, overrides, head.revision);
     this.#overrides = overrides;
-    this.#stamp = stamp;
-    this.#refused = null;
+    this.#headVersion = stamp;
+    this.#refusedRevision = null;
     this.#missingSince = null;
     const { revision, by, why } = head;
     const changes = differences(before, this.#effective);
     log.info(
-      { revision, by, why, changes: changes.slice(0, LOGGED), all: changes.length },
+      { revision, by, why, changes: changes.slice(0, MAX_LOGGED_CHANGES), all: changes.length },
       "configuration in force",
     );
     changed(this.#effective);
   }
 
-  /** Changes nothing: this controller goes on by what it had, and nothing grows. */
+  /** Refuses a revision: this controller keeps the former configuration, and no use may grow. */
   #refuse(stamp: number, head: Head | null, why: string): void {
-    this.#stamp = stamp;
-    this.#refused = head?.revision ?? this.#effective.revision + 1;
+    this.#headVersion = stamp;
+    this.#refusedRevision = head?.revision ?? this.#effective.revision + 1;
     this.#missingSince = null;
-    this.options.log.error({ revision: this.#refused, why }, "configuration refused");
+    this.options.log.error({ revision: this.#refusedRevision, why }, "configuration refused");
   }
 
   get #decision(): Decision {
     const { revision } = this.#effective;
-    const refused = this.#refused;
+    const refused = this.#refusedRevision;
     return { run: this.options.run, revision, ...(refused === null ? {} : { refused }) };
   }
 
-  /** Tells the others by which revision this controller decides, once there is one. */
-  async #say(): Promise<void> {
+  /** Publishes which revision this controller uses, once a revision has been made. */
+  async #publishDecision(): Promise<void> {
     const { mirror, store, node, lease: leaseOf, log } = this.options;
     const lease = leaseOf();
-    if (this.#saying || lease === null || !mirror.ready || this.#stamp === 0) return;
+    if (this.#publishing || lease === null || !mirror.ready || this.#headVersion === 0) return;
     const key = keys.decision(node);
     const value = this.#decision;
-    const said = mirror.rows.get(key)?.value;
-    if (isDecision(said) && JSON.stringify(said) === JSON.stringify(value)) return;
-    // Before placing, so that a revision is known to be in force soon; it is one change at a time.
+    const published = mirror.rows.get(key)?.value;
+    if (isDecision(published) && JSON.stringify(published) === JSON.stringify(value)) return;
+    // May overdraw the rate limiter, ahead of placement, so that a revision is soon known to be in
+    // force; only one such write is in flight at a time.
     if (store.writes.level <= -store.writes.burst) return;
     store.writes.force(1);
-    this.#saying = true;
+    this.#publishing = true;
     try {
       const { revision } = await store.transact([], [{ put: key, value, lease }]);
       mirror.apply({ key, value, version: revision, deleted: false });
     } catch (error) {
-      log.debug({ why: String(error) }, "revision not said");
+      log.debug({ why: String(error) }, "could not publish the revision in use; will be retried");
     } finally {
-      this.#saying = false;
+      this.#publishing = false;
     }
   }
 }
--- a/src/configuration/records.ts
+++ b/src/configuration/records.ts
@@ -1,13 +1,18 @@
-/** What the state service keeps of the configuration: a head, the pieces of its content, a history. */
+/**
+ * The configuration's records in the state service: a head, the pieces of its content, a history.
+ */
 import { isMap } from "../wire/cbor.js";
 
-/** CPUs and GPUs as the operators write them. */
+/** CPUs and GPUs as written by operators. */
 export interface ConfiguredAmounts {
   cpus?: number;
   gpus?: number;
 }
 
-/** What is set for one team; a field that is absent is as the platform and the files at start have it. */
+/**
+ * Overrides for one team; absent fields are as in the platform's and the operators' settings at
+ * start.
+ */
 export interface ConfiguredTeam {
   name: string;
   guarantee?: ConfiguredAmounts;
@@ -16,7 +21,7 @@
   group?: string;
 }
 
-/** A group of teams; it replaces one of the same name from the files at start. */
+/** A group of teams; replaces one of the same name in the operators' settings at start. */
 export interface ConfiguredGroup {
   name: string;
   parent?: string;
@@ -24,7 +29,7 @@
   lending?: ConfiguredAmounts;
 }
 
-/** All that has been set while serving. */
+/** All values that were changed at run time. */
 export interface Overrides {
   teams: ConfiguredTeam[];
   groups: ConfiguredGroup[];
@@ -39,12 +44,14 @@
   at: number;
 }
 
-/** Names the newest revision and where its content is (`w/c/head`). */
+/** The newest revision and the location of its content (`w/c/head`). */
 export interface Head extends Authorship {
   revision: number;
-  /** Of the request that made it: a repeated one is known by it. It names the pieces as well. */
+  /**
+   * The id of the request that made it, to recognise repeated requests. Part of the pieces' keys.
+   */
   id: string;
-  /** How many pieces its content has. */
+  /** Number of pieces of its content. */
   pieces: number;
 }
 
@@ -52,35 +59,35 @@
 export interface HistoryEntry extends Authorship {
   revision: number;
   id: string;
-  /** What changed, a line each, as many as fit. */
+  /** The changes, one line each, as many as fit. */
   changes: string[];
 }
 
 /** One piece of a revision's content (`w/c/p/{id}/{number}`). */
 export type Piece = Overrides;
 
-/** By which revision a controller decides (`w/d/{node}`), attached to its lease. */
+/** The revision that a controller uses (`w/d/{node}`), attached to its lease. */
 export interface Decision {
   run: string;
   revision: number;
-  /** A newer one that this controller cannot use. */
+  /** A newer revision that this controller cannot use. */
   refused?: number;
 }
 
-/** Most bytes of what people write into a revision, as JSON. */
-export const MOST_TEXT = 200;
-/** Of a name of an author. */
-export const MOST_AUTHOR = 80;
-const NAME_LIMIT = 200;
+/** Maximum size of a revision's reason, as JSON. */
+export const MAX_TEXT_BYTES = 200;
+/** Maximum size of an author's name, as JSON. */
+export const MAX_AUTHOR_BYTES = 80;
+const MAX_NAME_LENGTH = 200;
 
 const isCount = (value: unknown): value is number =>
   typeof value === "number" && Number.isSafeInteger(value) && value >= 0;
 const isAmount = (value: unknown): value is number =>
   typeof value === "number" && Number.isFinite(value) && value >= 0;
 const isName = (value: unknown): value is string =>
-  typeof value === "string" && value.length > 0 && value.length <= NAME_LIMIT;
+  typeof value === "string" && value.length > 0 && value.length <= MAX_NAME_LENGTH;
 const isText = (value: unknown): value is string => typeof value === "string";
-/** A request's id becomes part of keys, so it has neither slashes nor spaces. */
+/** A request's id becomes part of keys, so it must contain neither slashes nor spaces. */
 export const isRequestId = (value: unknown): value is string =>
   typeof value === "string" && /^[0-9A-Za-z_-]{1,60}$/.test(value);
 
@@ -143,18 +150,18 @@
   isCount(value.revision) &&
   (value.refused === undefined || isCount(value.refused));
 
-export const bytesOf = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
+export const jsonBytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
 
-/** Divides content into pieces of at most so many bytes each, as JSON. Null: one entry is larger. */
-export function divide({ teams, groups }: Overrides, mostBytes: number): Piece[] | null {
+/** Splits content into pieces of at most `mostBytes` each, as JSON. Null: one entry is larger. */
+export function splitIntoPieces({ teams, groups }: Overrides, mostBytes: number): Piece[] | null {
   const pieces: Piece[] = [];
   let last: Piece = { teams: [], groups: [] };
-  let bytes = bytesOf(last);
+  let bytes = jsonBytes(last);
   const add = (size: number, put: (piece: Piece) => void): boolean => {
     if (bytes + size > mostBytes) {
       pieces.push(last);
       last = { teams: [], groups: [] };
-      bytes = bytesOf(last);
+      bytes = jsonBytes(last);
       if (bytes + size > mostBytes) return false;
     }
     put(last);
@@ -162,16 +169,16 @@
     return true;
   };
   for (const group of groups) {
-    if (!add(bytesOf(group) + 1, (piece) => piece.groups.push(group))) return null;
+    if (!add(jsonBytes(group) + 1, (piece) => piece.groups.push(group))) return null;
   }
   for (const team of teams) {
-    if (!add(bytesOf(team) + 1, (piece) => piece.teams.push(team))) return null;
+    if (!add(jsonBytes(team) + 1, (piece) => piece.teams.push(team))) return null;
   }
   pieces.push(last);
   return pieces;
 }
 
-export const join = (pieces: readonly Piece[]): Overrides => ({
+export const joinPieces = (pieces: readonly Piece[]): Overrides => ({
   teams: pieces.flatMap(({ teams }) => teams),
   groups: pieces.flatMap(({ groups }) => groups),
 });
--- a/src/controller/controller-configuration.ts
+++ b/src/controller/controller-configuration.ts
@@ -33,7 +33,7 @@
       extensions.flatMap((extension) => extension.teams.map(({ name, most }) => [name, most])),
     );
     const guests = [...this.#packageTeams.keys()];
-    const base: BaseConfiguration = { teams, guests, groups: tuning.groups };
+    const base: BaseConfiguration = { teams, packageTeams: guests, groups: tuning.groups };
     this.live = new LiveConfiguration({
       base,
       mirror,
@@ -43,9 +43,9 @@
       node: settings.node_name,
       run: claims.run,
       lease: () => claims.lease(),
-      patienceMs: workers.lease_s * 1000,
-      sayMs: reportMs / 4,
-      changed,
+      missingPiecesTimeoutMs: workers.lease_s * 1000,
+      publishIntervalMs: reportMs / 4,
+      onChange: changed,
     });
     const author = new Author(core, this.live, base, () => totalCpuCapacity(core));
     this.find = configurationRouter(core, this.live, author);
--- a/src/controller/owned-parts.ts
+++ b/src/controller/owned-parts.ts
@@ -28,7 +28,7 @@
       token: number,
       position: ReportPosition,
     ) => void = () => undefined,
-    /** A report was not valid by the worker protocol. */
+    /** A report was not valid according to PROTOCOL. */
     readonly onMalformedReport: () => void = () => undefined,
     /** Whether a controller is suspected to have failed. */
     readonly isSuspected: (name: string) => boolean = () => false,
--- a/src/controller/routes.ts
+++ b/src/controller/routes.ts
@@ -24,7 +24,10 @@
   return { status: 200, body: { node, drained: on } };
 }
 
-/** Creates the router: paths of the core first, then those of packages. */
+/**
+ * Creates the router: the paths of PROTOCOL first, then those for operators, then those of
+ * packages.
+ */
 export function routerOf(answers: Handlers): Router {
   const { jobApi, attachments } = answers;
   const fixed = new Map<string, Route[]>([
--- a/src/diagnose/index.ts
+++ b/src/diagnose/index.ts
@@ -6,7 +6,7 @@
 import type { Attachment, Core, Extension } from "../extension/index.js";
 import type { Route } from "../http/server.js";
 import { isHeader, partChar } from "../jobs/job-header.js";
-import type { PackageDoor } from "../settings/door.js";
+import type { PackageDoor } from "../settings/package-definition.js";
 import { keys } from "../state/keys.js";
 import { isJobId } from "../wire/jobs.js";
 import type { View } from "./obstacles.js";
--- a/src/log.ts
+++ b/src/log.ts
@@ -2,7 +2,7 @@
 
 export type Log = Pick<pino.Logger, "debug" | "info" | "warn" | "error">;
 
-/** Logs go to standard error, written synchronously: the process may be killed at any moment. */
+/** Logs to standard error, synchronously, since the process may be killed at any moment. */
 export function openLog(node: string): Log {
   const asked = process.env.LOG_LEVEL ?? "info";
   const level = asked in pino.levels.values || asked === "silent" ? asked : "info";
--- a/src/main.ts
+++ b/src/main.ts
@@ -3,7 +3,7 @@
 import { fileURLToPath } from "node:url";
 import { Command, CommanderError, InvalidArgumentError } from "commander";
 import { closest, distance } from "fastest-levenshtein";
-import { lineOf } from "./errors.js";
+import { describeErrorWithPath } from "./errors.js";
 import {
   ControllerNode,
   defaultArchive,
@@ -18,13 +18,13 @@
   withPackage,
 } from "./index.js";
 import type { LocalOptions } from "./local/index.js";
-import { tuneFor } from "./processor.js";
+import { tuneV8 } from "./processor.js";
 import type { SubmitFileOptions } from "./submit/index.js";
 
 const VERSION = "0.1.0";
 
-/** Wrong use of the command line; everything that may go wrong while running exits with 1. */
-const USAGE = 2;
+/** Exit code for wrong usage of the command line; errors while running exit with 1. */
+const EXIT_USAGE = 2;
 
 interface ClientOptions {
   node: string;
@@ -39,7 +39,7 @@
   );
 }
 
-async function ask(
+async function runJobRequest(
   options: ClientOptions,
   run: (client: JobClient) => Promise<JobView>,
 ): Promise<void> {
@@ -62,15 +62,15 @@
   const { config, tuning: files = [] } = options;
   if (config === undefined) {
     return program.error("error: give --config <file> or a command; see --help", {
-      exitCode: USAGE,
+      exitCode: EXIT_USAGE,
     });
   }
   const settings = loadSettings(config);
-  tuneFor(settings.params.quota.cores);
+  tuneV8(settings.params.quota.cores);
   const operators = await loadOperators(files, settings);
   if (options.suspicion === true) await withPackage("suspicion", operators, settings);
   const log = openLog(settings.node_name);
-  // Whatever goes wrong in one request must not end the others.
+  // An error in one request must not abort the others.
   process.on("uncaughtException", (error) => log.error({ err: error }, "unexpected"));
   process.on("unhandledRejection", (error) => log.error({ err: error }, "unexpected"));
   const archive = operators.archive ?? (options.archive === true ? defaultArchive : undefined);
@@ -85,11 +85,11 @@
     },
   });
   await node.start();
-  // A planned end: nobody has to wait for our lease to end. What it cannot give away in time, it
-  // leaves to the lease.
-  const most = (settings.params.workers.lease_s * 1000) / 4;
+  // Planned shutdown: claims are handed over, so that other controllers need not wait for the lease
+  // to expire. Claims that cannot be handed over in time end with the lease.
+  const drainTimeoutMs = (settings.params.workers.lease_s * 1000) / 4;
   process.once("SIGTERM", () => {
-    const wait = new Promise((resolve) => setTimeout(resolve, most));
+    const wait = new Promise((resolve) => setTimeout(resolve, drainTimeoutMs));
     const end = (): void => {
       node.stop();
       process.exit(0);
@@ -107,19 +107,20 @@
   }
 }
 
-function count(text: string): number {
+function parseCount(text: string): number {
   const value = Number(text);
-  if (!Number.isInteger(value) || value < 0) throw new InvalidArgumentError("not a whole number");
+  if (!Number.isInteger(value) || value < 0)
+    throw new InvalidArgumentError("expected a whole number, 0 or more");
   return value;
 }
 
-/** Names what was asked for and, if one is near, what may have been meant. */
-function unknown(command: string): never {
+/** Exits with an error for an unknown command; suggests a command with a similar name. */
+function rejectUnknownCommand(command: string): never {
   const names = program.commands.map((one) => one.name());
   const nearest = closest(command, names);
   const near = distance(command, nearest) <= Math.max(1, command.length / 3);
-  const hint = near ? `did you mean ${nearest}?` : "see --help for the commands there are";
-  return program.error(`error: unknown command '${command}'; ${hint}`, { exitCode: USAGE });
+  const hint = near ? `did you mean ${nearest}?` : "see --help for the available commands";
+  return program.error(`error: unknown command '${command}'; ${hint}`, { exitCode: EXIT_USAGE });
 }
 
 const program = new Command("birchdale")
@@ -131,11 +132,11 @@
     (file: string, files: string[] = []) => [...files, file],
   )
   .option("--config <file>", "run a controller with these settings (TOML)")
-  .option("--suspicion", "watch the other controllers, as by `suspicion {}` in --tuning")
-  .option("--archive", "as the leader, archive jobs that are over, as by `archive {}` in --tuning")
+  .option("--suspicion", "monitor the other controllers, as with `suspicion {}` in --tuning")
+  .option("--archive", "as the leader, archive finished jobs, as with `archive {}` in --tuning")
   .argument("[command]", "what to do; without one, --config runs a controller")
   .action((command: string | undefined, options: ServeOptions) =>
-    command === undefined ? serve(options) : unknown(command),
+    command === undefined ? serve(options) : rejectUnknownCommand(command),
   )
   .allowExcessArguments()
   .exitOverride()
@@ -143,7 +144,7 @@
 
 program
   .command("serve")
-  .description("run a controller, like --config alone")
+  .description("run a controller, as --config alone does")
   .argument("<settings>", "settings file (TOML)")
   .action((config: string) => serve({ ...program.opts(), config }));
 
@@ -157,15 +158,17 @@
     process.stdout.write("ok\n");
   });
 
-const client = (name: string, description: string): Command =>
+const clientCommand = (name: string, description: string): Command =>
   program
     .command(name)
     .description(description)
     .requiredOption("--node <host:port>", "a controller")
     .option("--json", "print JSON");
 
-/** A job as JSON is an object; anything else is a submit file. */
-const isJob = (file: string): boolean =>
+/**
+ * Whether a file contains a job as JSON, which starts with a brace; otherwise it is a submit file.
+ */
+const isJsonJob = (file: string): boolean =>
   file === "-" || /^\s*\{/.test(readFileSync(file, "utf8").replace(/^\ufeff/, ""));
 
 program
@@ -174,33 +177,36 @@
   .argument("<file>", "a submit file; or a job as JSON (- for standard input)")
   .option("--node <host:port>", "a controller")
   .option("--json", "print JSON")
-  .option("--dry-run", "print the jobs that a submit file asks for, and submit nothing")
+  .option("--dry-run", "print the jobs that a submit file describes, and submit nothing")
   .option("--team <team>", "the team of jobs without accounting_group")
   .option("--user <name>", "who is shown as the owner")
-  .option("--env <names...>", "variables of the environment that $ENV may read")
+  .option("--env <names...>", "environment variables that $ENV may read")
   .option("--time-zone <zone>", "for cron_*, such as Europe/Athens")
-  .option("--name <name>", "the name of the hand-in: under one name, it is taken once")
-  .option("--await <ids...>", "jobs that have to be done before any task of this one starts")
+  .option(
+    "--name <name>",
+    "the name of the submission: submissions of the same name are accepted once",
+  )
+  .option("--await <ids...>", "jobs that must be done before any task of this one starts")
   .action(async (file: string, options: SubmitFileOptions & { await?: string[] }) => {
     const { node, await: awaits } = options;
-    if (!isJob(file)) {
+    if (!isJsonJob(file)) {
       if (awaits !== undefined) {
-        const why = "error: --await is for a job as JSON; a submit file has no place for it";
-        return program.error(why, { exitCode: USAGE });
+        const why = "error: --await applies to a job as JSON only, not to a submit file";
+        return program.error(why, { exitCode: EXIT_USAGE });
       }
       const { submitFile } = await import("./submit/index.js");
       return submitFile(file, options);
     }
     if (node === undefined)
-      return program.error("error: give --node <host:port>", { exitCode: USAGE });
+      return program.error("error: give --node <host:port>", { exitCode: EXIT_USAGE });
     const job = readJob(file);
     const body = awaits === undefined ? job : { ...(job as object), awaits };
-    return ask({ ...options, node }, (jobs) => jobs.submit(body));
+    return runJobRequest({ ...options, node }, (jobs) => jobs.submit(body));
   });
-client("show", "show how far a job is")
+clientCommand("show", "show a job's status and progress")
   .argument("<id>")
-  .action((id: string, options: ClientOptions) => ask(options, (jobs) => jobs.show(id)));
-client("watch", "show every change until the job is over")
+  .action((id: string, options: ClientOptions) => runJobRequest(options, (jobs) => jobs.show(id)));
+clientCommand("watch", "show every change of a job until it is finished")
   .argument("<id>")
   .action(async (id: string, options: ClientOptions) => {
     const jobs = new JobClient(options.node);
@@ -210,27 +216,32 @@
       jobs.close();
     }
   });
-client("withdraw", "cancel a job")
+clientCommand("withdraw", "cancel a job")
   .argument("<id>")
-  .action((id: string, options: ClientOptions) => ask(options, (jobs) => jobs.withdraw(id)));
+  .action((id: string, options: ClientOptions) =>
+    runJobRequest(options, (jobs) => jobs.withdraw(id)),
+  );
 
-client("drain", "give what a controller owns to the others, before its machine is worked on")
-  .option("--undo", "let it own parts again")
+clientCommand(
+  "drain",
+  "hand a controller's parts over to the others, before maintenance of its machine",
+)
+  .option("--undo", "let the controller own parts again")
   .action(async (options: ClientOptions & { undo?: boolean }) => {
     const jobs = new JobClient(options.node);
     try {
       const on = options.undo !== true;
       const { node } = await jobs.drain(on);
-      const said = on ? "drained: it owns nothing" : "takes parts again";
+      const message = on ? "drained: it owns nothing" : "takes parts again";
       process.stdout.write(
-        options.json ? `${JSON.stringify({ node, on })}\n` : `${node} ${said}\n`,
+        options.json ? `${JSON.stringify({ node, on })}\n` : `${node} ${message}\n`,
       );
     } finally {
       jobs.close();
     }
   });
 
-client("status", "show teams, parts and machines, as one controller sees them").action(
+clientCommand("status", "show teams, parts and machines, as one controller sees them").action(
   async (options: ClientOptions) => {
     const jobs = new JobClient(options.node);
     try {
@@ -255,7 +266,7 @@
 
 program
   .command("state")
-  .description("images of all that the state service keeps; see state --help")
+  .description("images of the state service's contents; see state --help")
   .argument("[words...]")
   .helpOption(false)
   .allowUnknownOption()
@@ -264,20 +275,23 @@
     await imageCommands(program).parseAsync(words, { from: "user" });
   });
 
-/** Commands of optional packages, which are loaded by the first use of one. */
-const packaged: [load: (program: Command) => Promise<Command>, commands: [string, string][]][] = [
+/** Commands of optional packages; a package is loaded when one of its commands is used. */
+const packageCommands: [
+  load: (program: Command) => Promise<Command>,
+  commands: [string, string][],
+][] = [
   [
     async (own) => (await import("./diagnose/index.js")).diagnoseCommands(own),
     [
-      ["why", "say why a job stands still"],
-      ["diagnose", "say what stands still in the whole cluster"],
+      ["why", "explain why a job makes no progress"],
+      ["diagnose", "list jobs without progress in the whole cluster"],
     ],
   ],
   [
     async (own) => (await import("./submit/index.js")).submitCommands(own),
     [
       ["q", "show clusters of submit files in the queue, or the jobs of some"],
-      ["history", "show clusters that are over"],
+      ["history", "show finished clusters"],
       ["rm", "remove clusters, or jobs of them"],
       ["hold", "hold clusters, or jobs of them"],
       ["release", "release held clusters, or jobs of them"],
@@ -285,7 +299,7 @@
     ],
   ],
 ];
-for (const [load, commands] of packaged) {
+for (const [load, commands] of packageCommands) {
   for (const [name, description] of commands) {
     program
       .command(name)
@@ -302,19 +316,19 @@
 
 program
   .command("lab")
-  .description("runs at scale on this machine, with hollow workers; see lab --help")
+  .description("run large clusters on this machine, with hollow workers; see lab --help")
   .argument("[words...]")
   .helpOption(false)
   .allowUnknownOption()
   .action(async (words: string[]) => {
     const { labCommands } = await import("./lab/index.js");
-    const own = fileURLToPath(import.meta.url);
-    await labCommands(program, own).parseAsync(words, { from: "user" });
+    const programFile = fileURLToPath(import.meta.url);
+    await labCommands(program, programFile).parseAsync(words, { from: "user" });
   });
 
 program
   .command("config")
-  .description("change teams and groups while serving; see config --help")
+  .description("change teams and groups at run time; see config --help")
   .argument("[words...]")
   .helpOption(false)
   .allowUnknownOption()
@@ -326,11 +340,11 @@
 program
   .command("local")
   .description("run a whole platform on this machine: state service, cloud, workers, controllers")
-  .option("--controllers <n>", "how many controllers", count, 3)
-  .option("--machines <m>", "how many machines of each type, zone and kind there are", count, 8)
-  .option("--port <port>", "where users submit; 0 for any", count, 8080)
+  .option("--controllers <n>", "how many controllers", parseCount, 3)
+  .option("--machines <m>", "how many machines of each type, zone and kind", parseCount, 8)
+  .option("--port <port>", "port for users' requests; 0 for any free one", parseCount, 8080)
   .option("--commands", "let jobs run the command they name, on this machine")
-  .option("--from <image>", "begin with what an image of `state save` holds")
+  .option("--from <image>", "start with the contents of an image made by `state save`")
   .action(async (options: Omit<LocalOptions, "tuning" | "archive" | "program" | "write">) => {
     const { runLocal } = await import("./local/index.js");
     const stop = new AbortController();
@@ -352,9 +366,9 @@
   await program.parseAsync();
 } catch (error) {
   if (error instanceof CommanderError) {
-    // What a command says about itself; anything else is a wrong use of the command line.
-    const own = /^(state|diagnose|config)\./.test(error.code);
-    process.exitCode = error.exitCode === 0 ? 0 : own ? error.exitCode : USAGE;
+    // These commands set their own exit codes; other command errors are wrong usage.
+    const hasOwnExitCode = /^(state|diagnose|config)\./.test(error.code);
+    process.exitCode = error.exitCode === 0 ? 0 : hasOwnExitCode ? error.exitCode : EXIT_USAGE;
   } else {
     const known =
       error instanceof SettingsError ||
@@ -362,7 +376,7 @@
       error instanceof Unanswered ||
       (error as Error).name === "ImageError" ||
       (error as NodeJS.ErrnoException).code !== undefined;
-    process.stderr.write(`birchdale: ${known ? lineOf(error) : String(error)}\n`);
+    process.stderr.write(`birchdale: ${known ? describeErrorWithPath(error) : String(error)}\n`);
     process.exitCode = 1;
   }
 }
--- a/src/market/index.ts
+++ b/src/market/index.ts
@@ -9,7 +9,7 @@
   controllersWithoutPackage,
   type Extension,
 } from "../extension/index.js";
-import type { PackageDoor } from "../settings/door.js";
+import type { PackageDoor } from "../settings/package-definition.js";
 import { MarketApi } from "./api.js";
 import { Book } from "./book.js";
 import { MarketLeader } from "./leader.js";
--- a/src/metrics.ts
+++ b/src/metrics.ts
@@ -1,40 +1,42 @@
 import type { Counter, Gauge, Histogram, Registry } from "prom-client";
 import type { Clock } from "./clock.js";
 
-type Record =
+type MetricEvent =
   | { kind: "preempted"; team: string; by: string; reason: string }
   | { kind: "running"; team: string; waitedS: number }
   | { kind: "refused"; team: string; why: string }
-  | { kind: "event"; what: Event };
+  | { kind: "event"; what: RareEvent };
 
-/** What should be rare, and says where to look when it is not. */
-export type Event =
+/** Events that should be rare; frequent ones indicate a fault in the cluster. */
+export type RareEvent =
   | "machine deaf"
   | "report malformed"
   | "report copied"
   | "job without owner"
   | "commit rejected";
 
-/** What is known of jobs that are over, when somebody asks. */
+/** Figures on finished jobs, read when the metrics are requested. */
 export interface HistoryFigures {
-  /** In this controller's memory. */
+  /** Finished jobs in this controller's memory. */
   over: number;
-  /** Moved into the archive by this controller, and leaves of it that it has read. */
+  /**
+   * Jobs that this controller has moved to the archive; `reads`: leaves of the archive it has read.
+   */
   moved: number;
   reads: number;
-  /** Questions about jobs that were answered 503, since there were too many. */
+  /** Requests for old or unknown jobs that were answered 503 because there were too many. */
   refused: number;
 }
 
-/** Records that are kept until the library has been loaded. */
-const MOST_EARLY = 10_000;
+/** Most events that are buffered until the library has been loaded. */
+const MAX_EARLY_EVENTS = 10_000;
 
 /**
- * Counters and histograms. The library is loaded a while after the start, when there is time for
- * it: a controller that starts has workers waiting for it.
+ * Counters and histograms. The library is loaded only some time after the start, because workers
+ * wait for a controller that starts.
  */
 export class Metrics {
-  #early: Record[] = [];
+  #earlyEvents: MetricEvent[] = [];
   #loaded: {
     registry: Registry;
     preempted: Counter;
@@ -46,17 +48,17 @@
   constructor(
     clock: Clock,
     loadAfterMs: number,
-    /** Asked when the figures are. */
+    /** Called when the metrics are requested. */
     readonly history: () => HistoryFigures | null = () => null,
     /** The revision of the configuration that is in force here; 0 for none. */
     readonly revision: () => number = () => 0,
   ) {
-    clock.after(loadAfterMs, () => void this.#load());
+    clock.after(loadAfterMs, () => void this.#loadLibrary());
   }
 
-  add(record: Record): void {
+  add(record: MetricEvent): void {
     if (this.#loaded === null) {
-      if (this.#early.length < MOST_EARLY) this.#early.push(record);
+      if (this.#earlyEvents.length < MAX_EARLY_EVENTS) this.#earlyEvents.push(record);
     } else if (record.kind === "preempted") {
       const { team, by, reason } = record;
       this.#loaded.preempted.inc({ team, by, reason });
@@ -70,19 +72,19 @@
     }
   }
 
-  /** In the text format that monitoring systems read; null while it is not loaded. */
+  /** The metrics in Prometheus text format; null while the library is not loaded. */
   text(): Promise<string> | null {
     return this.#loaded === null ? null : this.#loaded.registry.metrics();
   }
 
-  /** Figures that are kept elsewhere, read when somebody asks. */
-  #history(counter: typeof Counter, gauge: typeof Gauge, registry: Registry): void {
+  /** Registers the metrics on finished jobs, whose figures are read when requested. */
+  #registerHistory(counter: typeof Counter, gauge: typeof Gauge, registry: Registry): void {
     const { history } = this;
     const registers = [registry];
     const shown: [name: Exclude<keyof HistoryFigures, "over">, help: string][] = [
-      ["moved", "Jobs that this controller has moved into the archive"],
+      ["moved", "Jobs that this controller has moved to the archive"],
       ["reads", "Leaves of the archive that this controller has read"],
-      ["refused", "Questions about old or unknown jobs that were answered 503"],
+      ["refused", "Requests for old or unknown jobs that were answered 503"],
     ];
     for (const [name, help] of shown) {
       new counter({
@@ -97,7 +99,7 @@
     }
     new gauge({
       name: "birchdale_history_over_jobs",
-      help: "Jobs that are over and are in this controller's memory",
+      help: "Finished jobs in this controller's memory",
       registers,
       collect() {
         this.set(history()?.over ?? 0);
@@ -105,15 +107,15 @@
     });
   }
 
-  async #load(): Promise<void> {
-    // The default export is what a CommonJS module exports, in the bundle as well.
+  async #loadLibrary(): Promise<void> {
+    // prom-client is a CommonJS module: its exports are the default export, in the bundle as well.
     const { Counter, Gauge, Histogram, Registry } = (await import("prom-client")).default;
     const registry = new Registry();
-    this.#history(Counter, Gauge, registry);
+    this.#registerHistory(Counter, Gauge, registry);
     const { revision } = this;
     new Gauge({
       name: "birchdale_configuration_revision",
-      help: "The revision of the configuration that this controller decides by",
+      help: "The revision of the configuration in force at this controller",
       registers: [registry],
       collect() {
         this.set(revision());
@@ -131,31 +133,31 @@
       registry,
       preempted: new Counter({
         name: "birchdale_preempted_tasks_total",
-        help: "Tasks stopped to make room, by their team, the team they made room for, and why",
+        help: "Preempted tasks by their team, the team they were stopped for, and the reason",
         labelNames: ["team", "by", "reason"],
         registers: [registry],
       }),
       refused: new Counter({
         name: "birchdale_refused_jobs_total",
-        help: "Jobs refused for good, by their team and why",
+        help: "Jobs refused for good by their team and the reason",
         labelNames: ["team", "why"],
         registers: [registry],
       }),
       events: new Counter({
         name: "birchdale_events_total",
-        help: "What should be rare: machines that do not hear us, reports that are malformed or copies, jobs found without an owner",
+        help: "Rare events: machines not reached by answers, malformed or copied reports, jobs without an owner, rejected commits",
         labelNames: ["what"],
         registers: [registry],
       }),
       wait: new Histogram({
         name: "birchdale_start_seconds",
-        help: "From placing a task to its running, with the image fetch",
+        help: "Seconds from placing a task until it runs, the image fetch included",
         labelNames: ["team"],
         buckets: [0.5, 1, 2, 3, 5, 8, 12, 20, 40],
         registers: [registry],
       }),
     };
-    for (const record of this.#early) this.add(record);
-    this.#early = [];
+    for (const record of this.#earlyEvents) this.add(record);
+    this.#earlyEvents = [];
   }
 }
--- a/src/node.ts
+++ b/src/node.ts
@@ -18,13 +18,15 @@
   extensions?: readonly Extension[];
   log: Log;
   clock?: Clock;
-  /** Whether this controller begins an archive of jobs that are over, and when they go into it. */
+  /**
+   * If set, this controller creates an archive of finished jobs; says when they are moved to it.
+   */
   archive?: ArchiveOptions;
-  /** Called once when the controller cannot go on; it has stopped then. */
+  /** Called once when the controller has stopped because it cannot continue. */
   fatal?(why: string): void;
 }
 
-/** A controller with its sockets: what the daemon runs, and what a program may embed. */
+/** A controller with its sockets, as run by the daemon or embedded in a program. */
 export class ControllerNode {
   readonly #settings: Settings;
   readonly #log: Log;
@@ -32,7 +34,7 @@
   readonly #mesh: Mesh;
   readonly #state: HttpClient;
   readonly #cloud: HttpClient;
-  /** Connections to workers, one each. */
+  /** Connections to workers, one per worker. */
   readonly #workers: Agent;
   #server: Server | null = null;
 
@@ -74,7 +76,9 @@
         order: (address, body) => {
           new HttpClient(address, this.#workers, clock)
             .call("POST", ordersPath, body, reportMs)
-            .catch((error) => log.debug({ why: String(error) }, "order not answered"));
+            .catch((error) =>
+              log.debug({ why: String(error) }, "commands not answered by the worker"),
+            );
         },
         broadcast: (frame) => this.#mesh.broadcast(frame),
         send: (to, frame) => this.#mesh.send(to, frame),
@@ -97,7 +101,7 @@
       this.#settings.listen,
       this.#controller.router,
       this.#log,
-      // The rest is for connections of our own.
+      // The remaining sockets are for outgoing connections.
       Math.floor(this.#settings.params.quota.max_sockets * 0.9),
     );
     await this.#mesh.start();
@@ -106,8 +110,8 @@
   }
 
   /**
-   * Gives all that this controller owns to others, before a planned end. Resolves once it has
-   * nothing any more.
+   * Hands all claims over to other controllers before a planned shutdown. Resolves once this
+   * controller owns nothing.
    * @throws when the state service does not answer
    */
   drain(on = true): Promise<void> {
--- a/src/settings/operators.ts
+++ b/src/settings/operators.ts
@@ -2,44 +2,46 @@
 import type { ArchiveOptions } from "../controller/index.js";
 import { sentenceOf } from "../errors.js";
 import type { Extension } from "../extension/index.js";
-import type { PackageDoor } from "./door.js";
+import type { PackageDoor } from "./package-definition.js";
 import { type Settings, SettingsError } from "./settings.js";
-import { build, parseSources, type Source, type Tuning } from "./tuning.js";
+import { buildTuning, parseSources, type Source, type Tuning } from "./tuning.js";
 
 /**
- * The optional packages by the name of their message. Nothing of them is loaded, and nothing is in
- * the bundle that a controller starts with, unless a file holds the message.
+ * Loaders of the optional packages by the name of their message. A package is loaded only if a file
+ * contains its message, and is not in the bundle with which a controller starts.
  */
-const PACKAGES: Record<string, () => Promise<{ door: PackageDoor }>> = {
+const PACKAGE_LOADERS: Record<string, () => Promise<{ door: PackageDoor }>> = {
   market: () => import("../market/index.js"),
   submit: () => import("../submit/index.js"),
   suspicion: () => import("../suspicion/index.js"),
   diagnose: () => import("../diagnose/index.js"),
 };
 
-/** All that the operators' own files say. */
+/** The contents of the operators' settings files. */
 export interface Operators {
   tuning: Tuning | undefined;
   extensions: Extension[];
-  /** When jobs that are over are archived, if a file says so. */
+  /** When finished jobs are archived; absent if no file enables the archive. */
   archive?: ArchiveOptions;
 }
 
-/** Switches a package on with its own values, as an empty message in a file does, unless one has. */
+/**
+ * Enables a package with its defaults, like an empty message in a file, unless a file enables it.
+ */
 export async function withPackage(
   name: "suspicion",
   operators: Operators,
   settings: Settings,
 ): Promise<void> {
   if (operators.extensions.some((extension) => extension.name === name)) return;
-  const { door } = await PACKAGES[name]!();
+  const { door } = await PACKAGE_LOADERS[name]!();
   const refuse = (reason: string): never => {
     throw new SettingsError(reason);
   };
   operators.extensions.push(door.open({}, settings, refuse));
 }
 
-/** Names of the fields at the top of a file, without comments, strings and what is in braces. */
+/** Names of the top-level fields of a file: skips comments, strings and anything in braces. */
 export function topFields(text: string): Set<string> {
   const found = new Set<string>();
   let depth = 0;
@@ -72,17 +74,19 @@
   settings: Settings,
 ): Promise<Operators> {
   if (sources.length === 0) return { tuning: undefined, extensions: [] };
-  const named = new Set(sources.flatMap(({ text }) => [...topFields(text)]));
-  const doors: PackageDoor[] = [];
-  for (const [name, load] of Object.entries(PACKAGES)) {
-    if (named.has(name)) doors.push((await load()).door);
+  const fieldsInFiles = new Set(sources.flatMap(({ text }) => [...topFields(text)]));
+  const definitions: PackageDoor[] = [];
+  for (const [name, load] of Object.entries(PACKAGE_LOADERS)) {
+    if (fieldsInFiles.has(name)) definitions.push((await load()).door);
   }
   const { raw, refuse } = parseSources(
     sources,
-    doors.map(({ schema }) => schema),
+    definitions.map(({ schema }) => schema),
+  );
+  const extensions = definitions.map(({ schema, open }) =>
+    open(raw[schema.field], settings, refuse),
   );
-  const extensions = doors.map(({ schema, open }) => open(raw[schema.field], settings, refuse));
   const extra = extensions.flatMap(({ teams }) => [...teams]);
-  const tuning = build(raw, settings.params.teams, refuse, extra);
+  const tuning = buildTuning(raw, settings.params.teams, refuse, extra);
   return { tuning, extensions, archive: tuning.archive ?? undefined };
 }
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -51,7 +51,7 @@
       write_rps: positive,
       value_kb: positive,
       txn_ops: z.number().int().min(2),
-      // Limits that come into force some time later, without notice; what is missing stays.
+      // Limits that come into force at some later time, without notice; absent ones stay unchanged.
       next: z
         .object({
           rps: positive.optional(),
@@ -73,7 +73,7 @@
 export type Settings = z.infer<typeof schema>;
 export type Team = z.infer<typeof team>;
 
-/** Carries one line for the operator: file, field and reason. */
+/** An error in the settings; the message is one line with file, field and reason. */
 export class SettingsError extends Error {}
 
 export function parseSettings(text: string, file: string): Settings {
@@ -119,7 +119,7 @@
   return parseSettings(text, file);
 }
 
-/** All controllers, in one order that every controller agrees on. */
+/** All controllers, sorted by name, so that every controller has the same order. */
 export function clusterOf(settings: Settings): { name: string; zone: string; addr: string }[] {
   const all = settings.known.map((node) => ({
     name: node.node_name,
--- a/src/settings/tuning.ts
+++ b/src/settings/tuning.ts
@@ -5,7 +5,7 @@
 import { type Amounts, addAmounts, type Group, ROOT } from "../fair/share.js";
 import { SettingsError, type Team } from "./settings.js";
 
-/** The operators' own settings, as `deploy/tuning.example.textproto` explains them. */
+/** Schema of the operators' settings; `deploy/tuning.example.textproto` explains the fields. */
 const SCHEMA = `
 syntax = "proto3";
 package birchdale;
@@ -17,10 +17,10 @@
 
 message Group {
   string name = 1;
-  // The group that this one belongs to; without it, the root.
+  // The group that this one belongs to; by default the root.
   optional string parent = 2;
   optional double weight = 3;
-  // What its members lend to others at most, together; without it, all they are guaranteed.
+  // The most that its members together lend to other groups; by default all their guarantees.
   optional Resources lending = 4;
 }
 
@@ -28,29 +28,29 @@
   string name = 1;
   optional string group = 2;
   optional double weight = 3;
-  // Only for "birchdale config apply"; at start they come from the platform's settings.
+  // Only for "birchdale config apply"; at start both come from the platform's settings.
   optional Resources guarantee = 4;
   optional Resources limit = 5;
 }
 
 message Preemption {
-  // Whether borrowers are stopped to even out shares (S2), not only for guarantees.
+  // Whether borrowers are also preempted to even out shares (S2), not only for guarantees.
   optional bool even_out = 1;
-  // How many times a victim's loss the asker must have waited for that.
+  // For that, the preemptor must have waited this many times as long as the victim's loss.
   optional double patience = 2;
 }
 
 message Rental {
-  // An offer this many times dearer than the cheapest is taken only for need that lasts.
+  // An offer this many times as expensive as the cheapest is taken only for lasting demand.
   optional double dear = 1;
-  // Capacity kept, as a multiple of the demand.
+  // Capacity to keep, as a multiple of the demand.
   optional double headroom = 2;
 }
 
 message Archive {
-  // Jobs that are over and stay among the watched keys.
+  // Number of finished jobs that stay in the watched keys.
   optional uint32 keep = 1;
-  // How long each of them stays there at the least.
+  // Minimum time for which each of them stays there.
   optional double age_s = 2;
 }
 
@@ -64,13 +64,13 @@
 %PACKAGES%}
 `;
 
-/** A package's own message in the operators' settings: its presence switches the package on. */
+/** A package's own message in the operators' settings: its presence enables the package. */
 export interface PackageSchema {
   /** The field in the settings, such as `market`. */
   field: string;
-  /** From 100, never used again for something else. */
+  /** The field number: 100 or more, never reused for another message. */
   number: number;
-  /** The message's name and, in the language of protobuf, it and what it consists of. */
+  /** The message's name; `schema` defines the message and its parts in protobuf syntax. */
   message: string;
   schema: string;
 }
@@ -81,19 +81,22 @@
   text: string;
 }
 
-/** Ends with one line: the file and line where the text nearest to the mistake stands first. */
+/**
+ * Throws a `SettingsError` with the reason and the file and line where the text `near` first
+ * occurs.
+ */
 export type Refuse = (reason: string, near: string) => never;
 
 export interface Tuning {
-  /** Teams and groups with the root, ready for a tree. */
+  /** Teams and groups, the root included, as input for a `ShareTree`. */
   groups: Group[];
   preemption: { evenOut: boolean; patience: number };
   rental: { dear: number; headroom: number };
-  /** Null: jobs that are over stay where they are. */
+  /** Null: finished jobs are not archived. */
   archive: { keep: number; ageMs: number } | null;
 }
 
-/** What an empty `archive {}` stands for. */
+/** The defaults of the fields of `archive {}`. */
 export const defaultArchive = { keep: 1000, ageMs: 600_000 };
 
 interface RawGroup {
@@ -114,27 +117,28 @@
   archive?: { keep?: number; age_s?: number };
 }
 
-/** What holds without a file: every team has weight 1, and all are in one group. */
+/** The settings without a file: every team has weight 1 and is in the root group. */
 export function defaultTuning(teams: readonly Team[]): Tuning {
-  return build({}, teams, (reason) => {
+  return buildTuning({}, teams, (reason) => {
     throw new SettingsError(reason);
   });
 }
 
 export function parseTuning(text: string, file: string, teams: readonly Team[]): Tuning {
   const { raw, refuse } = parseSources([{ text, file }], []);
-  return build(raw, teams, refuse);
+  return buildTuning(raw, teams, refuse);
 }
 
 /**
- * Reads files and merges them as protobuf merges messages: what is there once is taken from the
- * last file that has it, what repeats is joined, and messages merge field by field.
+ * Reads files and merges them as protobuf merges messages: a singular field is taken from the last
+ * file that has it, repeated fields are concatenated, and messages are merged field by field.
  */
 export function parseSources(
   sources: readonly Source[],
   packages: readonly PackageSchema[],
 ): { raw: Raw & Record<string, unknown>; refuse: Refuse } {
-  // Loaded only when there is such a file: it takes time and memory that most runs can save.
+  // Loaded only if there is such a file, since loading takes time and memory that most runs can
+  // save.
   const load = createRequire(import.meta.url);
   const protobuf = load("protobufjs") as typeof Protobuf;
   const format = load("protobufjs/ext/textformat") as typeof TextFormat;
@@ -156,18 +160,18 @@
     } catch (error) {
       const message = (error as Error).message;
       const line = / \(line (\d+)\)$/.exec(message);
-      // The parser gives no line for some values: the shortest beginning that fails has it.
-      const at = line === null ? lineOfError(type, text, message) : Number(line[1]);
-      throw new SettingsError(`${file}:${at}: ${message.replace(/ \(line \d+\)$/, "")}`);
+      // For some values the parser gives no line: it is the last of the shortest prefix that fails.
+      const lineNumber = line === null ? lineOfParseError(type, text, message) : Number(line[1]);
+      throw new SettingsError(`${file}:${lineNumber}: ${message.replace(/ \(line \d+\)$/, "")}`);
     }
   }
   return {
     raw,
     refuse: (reason, near) => {
-      // What a later file says is what counts, so the mistake is looked for there first.
+      // Later files override earlier ones, so the error is searched for in the last file first.
       const last = sources.at(-1)!;
       const { file, text } = [...sources].reverse().find((one) => one.text.includes(near)) ?? last;
-      throw new SettingsError(`${file}:${lineOf(text, near)}: ${reason}`);
+      throw new SettingsError(`${file}:${lineNumberOf(text, near)}: ${reason}`);
     },
   };
 }
@@ -184,7 +188,7 @@
   }
 }
 
-function lineOfError(type: Protobuf.Type, text: string, message: string): number {
+function lineOfParseError(type: Protobuf.Type, text: string, message: string): number {
   const lines = text.split("\n");
   for (let count = 1; count < lines.length; count++) {
     try {
@@ -196,22 +200,24 @@
   return lines.length;
 }
 
-/** The line on which a name, or a field, is written first. */
-function lineOf(text: string, near: string): number {
-  const at = text.search(new RegExp(`["']${literal(near)}["']|\\b${literal(near)}\\b`));
-  return at < 0 ? 1 : text.slice(0, at).split("\n").length;
+/** The line on which a name or a field first occurs; 1 if it does not occur. */
+function lineNumberOf(text: string, near: string): number {
+  const index = text.search(
+    new RegExp(`["']${escapeRegExp(near)}["']|\\b${escapeRegExp(near)}\\b`),
+  );
+  return index < 0 ? 1 : text.slice(0, index).split("\n").length;
 }
 
-const literal = (text: string): string => text.replace(/[.*+?^${}()|[\]\\]/g, "\\$&");
+const escapeRegExp = (text: string): string => text.replace(/[.*+?^${}()|[\]\\]/g, "\\$&");
 
-/** Checks the core's own settings; `extra` teams of packages take their place in the tree. */
-export function build(
+/** Checks the core's settings and builds the tree, with the `extra` teams of packages in it. */
+export function buildTuning(
   raw: Raw,
   teams: readonly Team[],
   refuse: Refuse,
   extra: readonly ExtraTeam[] = [],
 ): Tuning {
-  const ratio = (value: number | undefined, fallback: number, least: number, name: string) => {
+  const atLeast = (value: number | undefined, fallback: number, least: number, name: string) => {
     if (value === undefined) return fallback;
     if (!Number.isFinite(value) || value < least) refuse(`${name}: at least ${least}`, name);
     return value;
@@ -245,27 +251,31 @@
   for (const { name, parent } of groups.values()) {
     if (parent !== null && !groups.has(parent)) refuse(`${name}: unknown parent ${parent}`, name);
     const seen = new Set([name]);
-    for (let at = parent; at !== null; at = groups.get(at)?.parent ?? null) {
-      if (seen.has(at)) refuse(`group ${name} is inside itself`, name);
-      seen.add(at);
+    for (
+      let ancestor = parent;
+      ancestor !== null;
+      ancestor = groups.get(ancestor)?.parent ?? null
+    ) {
+      if (seen.has(ancestor)) refuse(`group ${name} is inside itself`, name);
+      seen.add(ancestor);
     }
   }
-  const set = new Map<string, RawGroup>();
+  const teamSettings = new Map<string, RawGroup>();
   for (const team of raw.team ?? []) {
     if (!known.has(team.name)) refuse(`the platform has no team ${team.name}`, team.name);
     if (team.guarantee !== undefined || team.limit !== undefined) {
       const reason = "guarantees and limits are set by `birchdale config apply`, not at start";
       refuse(`${team.name}: ${reason}`, team.name);
     }
-    if (set.has(team.name)) refuse(`team ${team.name} is there twice`, team.name);
+    if (teamSettings.has(team.name)) refuse(`team ${team.name} is there twice`, team.name);
     if (team.group !== undefined && !groups.has(team.group)) {
       refuse(`${team.name}: unknown group ${team.group}`, team.name);
     }
-    set.set(team.name, team);
+    teamSettings.set(team.name, team);
   }
   const leaves: Group[] = [];
   for (const { name, cpus, gpus } of teams) {
-    const own = set.get(name);
+    const own = teamSettings.get(name);
     const parent = own?.group ?? ROOT;
     leaves.push({
       name,
@@ -273,8 +283,12 @@
       weight: own === undefined ? 1 : weight(own),
       nominal: { cpus, gpus },
     });
-    for (let at: string | null = parent; at !== null; at = groups.get(at)!.parent) {
-      const group = groups.get(at)!;
+    for (
+      let ancestor: string | null = parent;
+      ancestor !== null;
+      ancestor = groups.get(ancestor)!.parent
+    ) {
+      const group = groups.get(ancestor)!;
       group.nominal = addAmounts(group.nominal, { cpus, gpus });
     }
   }
@@ -288,18 +302,18 @@
     groups: [...groups.values(), ...leaves],
     preemption: {
       evenOut: raw.preemption?.even_out ?? true,
-      patience: ratio(raw.preemption?.patience, 4, 0, "patience"),
+      patience: atLeast(raw.preemption?.patience, 4, 0, "patience"),
     },
     rental: {
-      dear: ratio(raw.rental?.dear, 1.5, 1, "dear"),
-      headroom: ratio(raw.rental?.headroom, 1.3, 1, "headroom"),
+      dear: atLeast(raw.rental?.dear, 1.5, 1, "dear"),
+      headroom: atLeast(raw.rental?.headroom, 1.3, 1, "headroom"),
     },
     archive:
       raw.archive === undefined
         ? null
         : {
             keep: raw.archive.keep ?? defaultArchive.keep,
-            ageMs: ratio(raw.archive.age_s, defaultArchive.ageMs / 1000, 0, "age_s") * 1000,
+            ageMs: atLeast(raw.archive.age_s, defaultArchive.ageMs / 1000, 0, "age_s") * 1000,
           },
   };
 }
--- a/src/submit/index.ts
+++ b/src/submit/index.ts
@@ -10,7 +10,7 @@
   controllersWithoutPackage,
   type Extension,
 } from "../extension/index.js";
-import type { PackageDoor } from "../settings/door.js";
+import type { PackageDoor } from "../settings/package-definition.js";
 import { SubmitApi } from "./site/api.js";
 import { Book } from "./site/book.js";
 import { Desk } from "./site/desk.js";
--- a/src/suspicion/index.ts
+++ b/src/suspicion/index.ts
@@ -10,7 +10,7 @@
   controllersWithoutPackage,
   type Extension,
 } from "../extension/index.js";
-import type { PackageDoor } from "../settings/door.js";
+import type { PackageDoor } from "../settings/package-definition.js";
 import { FailureDetector } from "./failure-detector.js";
 import { parseAccusation } from "./records.js";
 import { readTiming, schema, type Timing } from "./settings.js";
--- a/test/configuration-author.test.ts
+++ b/test/configuration-author.test.ts
@@ -133,7 +133,7 @@
   const made = client.apply({ ...request, id: "one", change });
   await world.clock.run(4000);
   assert.equal((await made).revision, 1);
-  const waited = client.inForce(1, 14_000);
+  const waited = client.waitUntilInForce(1, 14_000);
   await world.clock.run(14_000);
   assert.deepEqual(await waited, []);
   const late = client.apply({ ...request, id: "two", change });
@@ -145,7 +145,7 @@
   await world.clock.run(1000);
   assert.equal((await second).revision, 2);
   // Its lease has not ended yet: it still holds a part.
-  const lagging = client.inForce(2, 500);
+  const lagging = client.waitUntilInForce(2, 500);
   await world.clock.run(1000);
   assert.deepEqual(
     (await lagging).map(({ node }) => node),
--- a/test/configuration-follower.test.ts
+++ b/test/configuration-follower.test.ts
@@ -9,7 +9,7 @@
 import { FakeState, FakeStore } from "./support/store.js";
 
 const teams = [{ name: "red", cpus: 8, cpus_max: 20, gpus: 0, gpus_max: 0 }];
-const base = { teams, guests: [], groups: [] };
+const base = { teams, packageTeams: [], groups: [] };
 
 /** What follows revisions, with nothing around it. */
 class Follower {
@@ -31,9 +31,9 @@
       node: "n0",
       run: "r",
       lease: () => null,
-      patienceMs: 12_000,
-      sayMs: 500,
-      changed: () => undefined,
+      missingPiecesTimeoutMs: 12_000,
+      publishIntervalMs: 500,
+      onChange: () => undefined,
     });
     this.mirror.ready = true;
     this.live.start();
--- a/test/configuration.test.ts
+++ b/test/configuration.test.ts
@@ -4,18 +4,18 @@
 import { readChange } from "../src/configuration/file.js";
 import {
   type BaseConfiguration,
+  configurationProblem,
   differences,
-  divide,
-  effectiveOf,
-  faultOf,
+  effectiveConfiguration,
   isOverrides,
-  join,
+  joinPieces,
   merge,
   NO_OVERRIDES,
   type Overrides,
+  splitIntoPieces,
   warningsOf,
 } from "../src/configuration/index.js";
-import { bytesOf } from "../src/configuration/records.js";
+import { jsonBytes } from "../src/configuration/records.js";
 import { ROOT } from "../src/fair/share.js";
 import { NO_LIMIT } from "../src/quota/limits.js";
 import { parseTuning } from "../src/settings/tuning.js";
@@ -28,13 +28,13 @@
 const tuning = 'group { name: "warm" weight: 2 } team { name: "red" group: "warm" weight: 3 }';
 const base: BaseConfiguration = {
   teams,
-  guests: [],
+  packageTeams: [],
   groups: parseTuning(tuning, "t", teams).groups,
 };
 const set = (overrides: Partial<Overrides>): Overrides => ({ ...NO_OVERRIDES, ...overrides });
 
 test("configuration: without a revision all is as at start", () => {
-  const { groups, limits, guarantees, revision } = effectiveOf(base, NO_OVERRIDES, 0);
+  const { groups, limits, guarantees, revision } = effectiveConfiguration(base, NO_OVERRIDES, 0);
   assert.equal(revision, 0);
   assert.deepEqual(groups, base.groups);
   assert.deepEqual(limits.get("red"), { cpus: 20, gpus: NO_LIMIT });
@@ -66,7 +66,7 @@
   {
     name: "a limit of nothing",
     overrides: { teams: [{ name: "red", limit: { cpus: 0 } }] },
-    says: "red: a limit of 0 CPUs would mean none; the least is above 0",
+    says: "red: a limit of 0 CPUs would mean no limit; expected more than 0",
   },
   {
     name: "a limit where there is none",
@@ -117,7 +117,7 @@
 ];
 for (const { name, overrides, says } of faults) {
   test(`configuration: ${name}: ${says ?? "taken"}`, () => {
-    assert.equal(faultOf(base, set(overrides))?.reason ?? null, says);
+    assert.equal(configurationProblem(base, set(overrides))?.reason ?? null, says);
   });
 }
 
@@ -133,7 +133,10 @@
       ],
     }),
   );
-  const [before, after] = [effectiveOf(base, first, 1), effectiveOf(base, second, 2)];
+  const [before, after] = [
+    effectiveConfiguration(base, first, 1),
+    effectiveConfiguration(base, second, 2),
+  ];
   assert.deepEqual(after.limits.get("red"), { cpus: 9, gpus: NO_LIMIT });
   assert.deepEqual(after.guarantees.get("red"), { cpus: 2, gpus: 0 });
   const tree = new Map(after.groups.map((group) => [group.name, group]));
@@ -151,7 +154,7 @@
 });
 
 test("configuration: guarantees that do not fit are told with the figures", () => {
-  const effective = effectiveOf(
+  const effective = effectiveConfiguration(
     base,
     set({ teams: [{ name: "red", guarantee: { cpus: 30 } }] }),
     1,
@@ -160,7 +163,7 @@
     "red: is guaranteed 30 CPUs and may use 20",
     "the guarantees add up to 34 CPUs; the machines now have 32",
   ]);
-  assert.deepEqual(warningsOf(effectiveOf(base, NO_OVERRIDES, 0), null), []);
+  assert.deepEqual(warningsOf(effectiveConfiguration(base, NO_OVERRIDES, 0), null), []);
 });
 
 test("configuration: pieces hold all of the content, each within its bytes", () => {
@@ -174,17 +177,17 @@
     fc.integer({ min: 600, max: 8000 }),
     (teams, most) => {
       const content: Overrides = { teams, groups: [{ name: "cold" }] };
-      const pieces = divide(content, most);
+      const pieces = splitIntoPieces(content, most);
       assert.ok(pieces !== null);
-      assert.deepEqual(join(pieces), content);
+      assert.deepEqual(joinPieces(pieces), content);
       for (const piece of pieces) {
-        assert.ok(bytesOf(piece) <= most, `${bytesOf(piece)} of ${most}`);
+        assert.ok(jsonBytes(piece) <= most, `${jsonBytes(piece)} of ${most}`);
         assert.ok(isOverrides(piece));
       }
     },
   );
   fc.assert(property, { numRuns: 200, seed: 5 });
-  assert.equal(divide({ teams: [{ name: "x".repeat(150) }], groups: [] }, 100), null);
+  assert.equal(splitIntoPieces({ teams: [{ name: "x".repeat(150) }], groups: [] }, 100), null);
 });
 
 const files: { name: string; text: string; says: RegExp }[] = [
--- a/test/support/configured.ts
+++ b/test/support/configured.ts
@@ -1,8 +1,8 @@
 import {
-  effectiveOf,
+  effectiveConfiguration,
   isHead,
   isOverrides,
-  join,
+  joinPieces,
   type Overrides,
 } from "../../src/configuration/index.js";
 import type { Answer } from "../../src/http/client.js";
@@ -112,8 +112,8 @@
       return value;
     });
     const { teams } = settingsFor(0, this.nodes, this.teams).params;
-    const base = { teams, guests: [], groups: defaultTuning(teams).groups };
-    for (const [team, { cpus }] of effectiveOf(base, join(found), revision).limits)
+    const base = { teams, packageTeams: [], groups: defaultTuning(teams).groups };
+    for (const [team, { cpus }] of effectiveConfiguration(base, joinPieces(found), revision).limits)
       this.limits.get(team)!.push({ at: this.clock.now(), limit: cpus });
   }
 
