--- a/src/configuration/author.ts
+++ b/src/configuration/author.ts
@@ -146,7 +146,7 @@
     if (schemaOf(mirror).version >= CONFIGURATION_SCHEMA) return { kind: "begun" };
     const missing = membersNotFollowing(this.core);
     if (missing.length > 0) {
-      const reason = `these controllers are absent or do not support configuration revisions: ${missing.join(", ")}`;
+      const reason = `these controllers are absent or do not follow revisions: ${missing.join(", ")}`;
       return { kind: "not ready", reason };
     }
     if (schemaOf(mirror).version < ARCHIVE_SCHEMA && !(await this.#createArchive()))
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -103,7 +103,7 @@
     this.#policy = this.#attachments.find(({ policy }) => policy !== undefined)?.policy ?? null;
     // Subscribes to the headers first: later subscribers query it about the change just applied.
     this.#pipelines = new Pipelines(mirror, links.store, clock, log, reportMs, (id) =>
-      this.#jobApi.ended(id),
+      this.#jobApi.awaitedOutcome(id),
     );
     this.#placement = new PlacementConstraints(
       this.#attachments.find(({ matcher }) => matcher !== undefined)?.matcher ?? null,
--- a/src/controller/history.ts
+++ b/src/controller/history.ts
@@ -204,13 +204,13 @@
    * polling for jobs that never existed leaves three quarters for other work.
    * @throws Refused beyond that
    */
-  admit(id: string): void {
+  admitLookup(id: string): void {
     if (!this.#unknownJobAdmission.admit(id))
       throw new Refused("too many requests for unknown jobs");
   }
 
   /** The cached outcome of an archived job, or null. */
-  recall(id: string): JobOutcome | null {
+  cachedOutcome(id: string): JobOutcome | null {
     return this.#lookups?.recall(id) ?? null;
   }
 
@@ -256,7 +256,7 @@
   }
 
   /** Discards what is cached for keys whose conditions failed. */
-  changed(failed: readonly string[]): void {
+  discardCached(failed: readonly string[]): void {
     for (const key of failed) this.#lookups?.changed(key);
   }
 
--- a/src/controller/job-api.ts
+++ b/src/controller/job-api.ts
@@ -87,7 +87,7 @@
   }
 
   /** The outcome of an awaited job. @throws while it is not known */
-  async ended(id: string): Promise<Ended> {
+  async awaitedOutcome(id: string): Promise<Ended> {
     const row = await this.core.store.get(keys.job(id));
     if (row === null) return this.history.find(id);
     if (!isHeader(row.value)) throw new Error(`job ${id}: unreadable job header`);
@@ -111,7 +111,7 @@
     if (known !== undefined && isHeader(known.value) && known.value.status !== "open") {
       return { header: known.value, version: known.version };
     }
-    const remembered = this.history.recall(id);
+    const remembered = this.history.cachedOutcome(id);
     if (remembered !== null) return { past: remembered };
     if (known !== undefined && mirror.ready) {
       // Another controller may already have reported the job's end. The watched copy is used once
@@ -121,7 +121,7 @@
       if (row !== undefined && isHeader(row.value)) {
         return { header: row.value, version: row.version };
       }
-    } else if (known === undefined) this.history.admit(id);
+    } else if (known === undefined) this.history.admitLookup(id);
     const row = await store.get(keys.job(id));
     if (row === null) {
       const past = await this.history.find(id);
@@ -250,7 +250,7 @@
       }
       if (result.failed.includes(key)) return null;
       // The archive was just created, or the leaf of it that would contain this job has changed.
-      this.history.changed(result.failed);
+      this.history.discardCached(result.failed);
       if (result.failed.includes(keys.schema)) await mirror.waitForRevision(result.revision);
     }
     return retryLater(503, "try again");
--- a/src/controller/reachability.ts
+++ b/src/controller/reachability.ts
@@ -52,7 +52,7 @@
           .relinquish(
             partsToRelinquish,
             unreachable ? leaseMs / 2 : leaseMs * 4,
-            "machines do not reach us",
+            "machines do not reach this controller",
           )
           .catch(() => undefined);
       }
--- a/src/controller/status.ts
+++ b/src/controller/status.ts
@@ -3,7 +3,10 @@
 import { fitsWithin, ShareTree } from "../fair/share.js";
 import { shownLimit } from "../quota/limits.js";
 
-/** The parts and teams in `/about/status`, as far as this controller knows them. */
+/**
+ * The parts and teams in `/about/status`, as far as this controller knows them: for people, and for
+ * programs that need the teams' shares in order to divide resources fairly.
+ */
 export function partAndTeamStatus(
   { layout, summaries, claims }: Core,
   { revision, groups, limits, guarantees }: EffectiveConfiguration,
--- a/test/configuration-author.test.ts
+++ b/test/configuration-author.test.ts
@@ -6,7 +6,7 @@
 import type { Change, Condition } from "../src/state/store.js";
 import { ConfiguredWorld } from "./support/configured.js";
 
-test("configuration: 130 teams fit the smallest limits, in pieces before the head; older pieces go", async () => {
+test("configuration: 130 teams fit the smallest limits, in pieces written before the head; old pieces are removed", async () => {
   const many = Array.from({ length: 130 }, (_, n) => ({ name: `team-${n}`, cpus: 1, max: 40 }));
   const world = new ConfiguredWorld(3, 3, {}, many, {
     ops: 4,
@@ -37,9 +37,9 @@
     assert.ok(isHistoryEntry(value), key);
     assert.match(value.changes.at(-1)!, /^and \d+ more$/);
   }
-  const asked = world.ask(1, "GET", "/about/configuration");
+  const response = world.ask(1, "GET", "/about/configuration");
   await world.clock.run(1000);
-  const { revision, teams: shown } = (await asked)!.body as {
+  const { revision, teams: shown } = (await response)!.body as {
     revision: number;
     teams: { name: string; limit: { cpus: number } }[];
   };
@@ -48,7 +48,7 @@
   world.stop();
 });
 
-test("configuration: the history keeps so many revisions and no more", async () => {
+test("configuration: the history keeps the last 50 revisions", async () => {
   const world = new ConfiguredWorld(4, 3);
   await world.ready();
   for (let round = 0; round < 56; round++) {
@@ -57,15 +57,17 @@
     await world.clock.run(3000);
     assert.equal((await answer)?.status, 200, `${round}: ${JSON.stringify(await answer)}`);
   }
-  const asked = world.ask(0, "GET", "/about/configuration/history");
+  const historyResponse = world.ask(0, "GET", "/about/configuration/history");
   await world.clock.run(500);
-  const { history } = (await asked)!.body as { history: { revision: number; by: string }[] };
+  const { history } = (await historyResponse)!.body as {
+    history: { revision: number; by: string }[];
+  };
   assert.equal(history.length, 50);
   assert.deepEqual([history[0]?.revision, history.at(-1)?.revision], [7, 56]);
   world.stop();
 });
 
-const bad: { name: string; body: object }[] = [
+const invalidRequests: { name: string; body: object }[] = [
   { name: "no id", body: { base: 0, by: "x", why: "", change: NO_OVERRIDES } },
   {
     name: "an id with a slash",
@@ -88,10 +90,10 @@
     },
   },
 ];
-test("configuration: requests that make no sense get 400, and make no revision", async () => {
+test("configuration: malformed requests get 400, and make no revision", async () => {
   const world = new ConfiguredWorld(8, 3);
   await world.ready();
-  for (const { name, body } of bad) {
+  for (const { name, body } of invalidRequests) {
     const answer = world.ask(0, "POST", "/about/configuration", body);
     await world.clock.run(500);
     assert.equal((await answer)?.status, 400, name);
@@ -118,7 +120,7 @@
   world.stop();
 });
 
-test("configuration: the client waits until all that hold parts decide by a revision, or says who lags", async () => {
+test("configuration: the client waits until all controllers that own parts use a revision, or returns those that do not", async () => {
   const world = new ConfiguredWorld(12, 3);
   await world.ready();
   const client = new ConfigurationClient("", world.clock, {
@@ -136,15 +138,15 @@
   const waited = client.waitUntilInForce(1, 14_000);
   await world.clock.run(14_000);
   assert.deepEqual(await waited, []);
-  const late = client.apply({ ...request, id: "two", change });
-  const failed = assert.rejects(late, Overtaken);
+  const outdated = client.apply({ ...request, id: "two", change });
+  const failed = assert.rejects(outdated, Overtaken);
   await world.clock.run(1000);
   await failed;
   world.clocks[1]!.freeze();
   const second = client.apply({ ...request, base: 1, id: "three", change });
   await world.clock.run(1000);
   assert.equal((await second).revision, 2);
-  // Its lease has not ended yet: it still holds a part.
+  // The lease of the frozen controller has not expired yet: it still owns a part.
   const lagging = client.waitUntilInForce(2, 500);
   await world.clock.run(1000);
   assert.deepEqual(
@@ -154,15 +156,15 @@
   world.stop();
 });
 
-const MANY = Array.from({ length: 130 }, (_, n) => ({ name: `team-${n}`, cpus: 1, max: 40 }));
-const SMALLEST = { ops: 4, conditions: 16, valueBytes: 2048 };
+const MANY_TEAMS = Array.from({ length: 130 }, (_, n) => ({ name: `team-${n}`, cpus: 1, max: 40 }));
+const SMALLEST_LIMITS = { ops: 4, conditions: 16, valueBytes: 2048 };
 const forAll = (cpus: number) => ({
-  teams: MANY.map(({ name }) => ({ name, limit: { cpus }, weight: 1.25 })),
+  teams: MANY_TEAMS.map(({ name }) => ({ name, limit: { cpus }, weight: 1.25 })),
   groups: [],
 });
 
-/** Whether all pieces of the revision in force are there. */
-function isWhole(world: ConfiguredWorld): boolean {
+/** Whether all pieces of the revision in force exist. */
+function hasAllPieces(world: ConfiguredWorld): boolean {
   const head = world.state.rows.get(keys.configurationHead)?.value;
   assert.ok(isHead(head));
   return Array.from({ length: head.pieces }, (_, n) =>
@@ -173,17 +175,17 @@
 const isPiece = (change: Change): boolean =>
   keys.ownerOfPiece("put" in change ? change.put : change.remove) !== null;
 
-test("configuration: a piece that is gone before its head is written: all are written anew", async () => {
-  const world = new ConfiguredWorld(13, 3, {}, MANY, SMALLEST);
+test("configuration: if a piece is removed before its head is written, all pieces are written again", async () => {
+  const world = new ConfiguredWorld(13, 3, {}, MANY_TEAMS, SMALLEST_LIMITS);
   await world.ready();
   const store = world.stores[0]!;
   const transact = store.transact.bind(store);
-  let lost = 0;
+  let removedPieces = 0;
   store.transact = async (when, then) => {
     const result = await transact(when, then);
     const [first] = then;
-    if (lost === 0 && first !== undefined && "put" in first && then.every(isPiece)) {
-      lost++;
+    if (removedPieces === 0 && first !== undefined && "put" in first && then.every(isPiece)) {
+      removedPieces++;
       world.state.transact([], [{ remove: first.put }]);
     }
     return result;
@@ -191,39 +193,39 @@
   const answer = world.change(0, forAll(9), 0);
   await world.clock.run(8000);
   assert.equal((await answer)?.status, 200);
-  assert.equal(lost, 1);
-  assert.ok(isWhole(world));
+  assert.equal(removedPieces, 1);
+  assert.ok(hasAllPieces(world));
   assert.ok([...world.deciders().values()].every((revision) => revision === 1));
   world.stop();
 });
 
-test("configuration: pieces that are removed late do not go once they are in force", async () => {
-  const world = new ConfiguredWorld(14, 3, {}, MANY, SMALLEST);
+test("configuration: a delayed removal does not remove pieces that are in force by then", async () => {
+  const world = new ConfiguredWorld(14, 3, {}, MANY_TEAMS, SMALLEST_LIMITS);
   await world.ready();
   const first = world.change(0, forAll(30), 0);
   await world.clock.run(6000);
   assert.equal((await first)?.status, 200);
-  // Another author has written a piece, and not its head yet.
+  // Another author has written a piece but not its head yet.
   const value = { teams: [], groups: [] };
   world.state.transact([], [{ put: keys.configurationPiece("slow", 0), value }]);
   await world.clock.run(500);
-  const held: { when: Condition[]; then: Change[] }[] = [];
+  const delayedRemovals: { when: Condition[]; then: Change[] }[] = [];
   const store = world.stores[0]!;
   const transact = store.transact.bind(store);
   store.transact = (when, then) => {
     if (!then.every((change) => "remove" in change && isPiece(change))) return transact(when, then);
-    held.push({ when, then });
+    delayedRemovals.push({ when, then });
     return Promise.reject(new Error("no answer"));
   };
   const second = world.change(0, forAll(20), 1);
   await world.clock.run(6000);
   assert.equal((await second)?.status, 200);
-  assert.ok(held.some(({ then }) => JSON.stringify(then).includes("slow")));
+  assert.ok(delayedRemovals.some(({ then }) => JSON.stringify(then).includes("slow")));
   const third = world.change(1, forAll(10), 2, "slow");
   await world.clock.run(6000);
   assert.equal((await third)?.status, 200);
-  for (const { when, then } of held) world.state.transact(when, then);
+  for (const { when, then } of delayedRemovals) world.state.transact(when, then);
   await world.clock.run(1000);
-  assert.ok(isWhole(world));
+  assert.ok(hasAllPieces(world));
   world.stop();
 });
--- a/test/configuration-commands.test.ts
+++ b/test/configuration-commands.test.ts
@@ -9,15 +9,15 @@
 import { ControllerNode } from "../src/node.js";
 import { quiet } from "./support/common.js";
 
-/** What a command wrote, and how it ended. */
-interface Outcome {
+/** The output of a command and its exit code. */
+interface CommandResult {
   text: string;
   errors: string;
   code: number;
 }
 
-async function run(words: string[]): Promise<Outcome> {
-  const outcome: Outcome = { text: "", errors: "", code: 0 };
+async function run(args: string[]): Promise<CommandResult> {
+  const outcome: CommandResult = { text: "", errors: "", code: 0 };
   const program = new Command("birchdale").exitOverride().configureOutput({
     writeErr: (text) => {
       outcome.errors += text;
@@ -29,7 +29,7 @@
   const before = process.exitCode;
   process.exitCode = 0;
   try {
-    await configurationCommands(program, write).parseAsync(words, { from: "user" });
+    await configurationCommands(program, write).parseAsync(args, { from: "user" });
     outcome.code = Number(process.exitCode ?? 0);
   } catch (error) {
     if (!(error instanceof CommanderError)) throw error;
@@ -39,7 +39,7 @@
   return outcome;
 }
 
-test("configuration: the command line shows, plans, applies, waits and names what is wrong", async () => {
+test("configuration: the commands show, plan, apply, wait and report errors", async () => {
   const platform = new Platform({ controllers: 2, reportS: 0.4, leaseS: 3, cancelS: 10 });
   const folder = mkdtempSync(join(tmpdir(), "birchdale-test-"));
   const file = (name: string, text: string): string => {
@@ -55,35 +55,44 @@
       await node.start();
     }
     assert.ok(await platform.ready());
-    const at = ["--node", platform.front.address];
+    const target = ["--node", platform.front.address];
     const good = file("good", 'team { name: "red" limit { cpus: 20 } weight: 2 }');
     const above = file("above", '# more\nteam { name: "red" limit { cpus: 65 } }');
-    const none = await run(["show", ...at]);
-    assert.match(none.text, /^no revision: all is as at start\n/);
-    const planned = await run(["apply", good, ...at, "--dry-run"]);
+    const initial = await run(["show", ...target]);
+    assert.match(initial.text, /^no revision: all is as at start\n/);
+    const planned = await run(["apply", good, ...target, "--dry-run"]);
     assert.match(
       planned.text,
       /red: limit 64 CPUs, any GPUs -> 20 CPUs[\s\S]*revision 1 would be made/,
     );
-    assert.equal((await run(["history", ...at])).text, "no revision has been made\n");
-    const refused = await run(["apply", above, ...at]);
+    assert.equal((await run(["history", ...target])).text, "no revision has been made\n");
+    const refused = await run(["apply", above, ...target]);
     assert.equal(refused.code, 2);
     assert.match(refused.errors, /above:2: red: a limit of 65 CPUs is above the platform's, 64/);
-    const applied = await run(["apply", good, ...at, "--wait", "--by", "ops", "--why", "a try"]);
+    const applied = await run([
+      "apply",
+      good,
+      ...target,
+      "--wait",
+      "--by",
+      "ops",
+      "--why",
+      "a try",
+    ]);
     assert.deepEqual([applied.code, applied.errors], [0, ""]);
     assert.match(applied.text, /revision 1 is made\nin force: all that hold parts decide by it\n$/);
-    const late = await run(["apply", good, ...at, "--base", "0"]);
-    assert.equal(late.code, 1);
-    assert.match(late.errors, /overtaken by revision 1 of ops, 20/);
-    const history = await run(["history", ...at]);
+    const outdated = await run(["apply", good, ...target, "--base", "0"]);
+    assert.equal(outdated.code, 1);
+    assert.match(outdated.errors, /overtaken by revision 1 of ops, 20/);
+    const history = await run(["history", ...target]);
     assert.match(history.text, /^revision 1, by ops, 20.*: a try\n {2}team red: limit 64/);
-    const status = await run(["status", ...at, "--json"]);
+    const status = await run(["status", ...target, "--json"]);
     const { revision, controllers } = JSON.parse(status.text) as {
       revision: number;
       controllers: { revision: number }[];
     };
     assert.deepEqual([revision, ...controllers.map((one) => one.revision)], [1, 1, 1]);
-    const missing = await run(["apply", join(folder, "nowhere"), ...at]);
+    const missing = await run(["apply", join(folder, "nowhere"), ...target]);
     assert.equal(missing.code, 2);
     assert.match(missing.errors, /nowhere: there is no such file/);
     const nobody = await run(["status", "--node", "127.0.0.1:9"]);
--- a/test/configuration-follower.test.ts
+++ b/test/configuration-follower.test.ts
@@ -11,7 +11,7 @@
 const teams = [{ name: "red", cpus: 8, cpus_max: 20, gpus: 0, gpus_max: 0 }];
 const base = { teams, packageTeams: [], groups: [] };
 
-/** What follows revisions, with nothing around it. */
+/** A `LiveConfiguration` without a controller; tests apply rows directly. */
 class Follower {
   readonly clock = new FakeClock();
   readonly mirror: Mirror;
@@ -39,22 +39,22 @@
     this.live.start();
   }
 
-  hear(key: string, value: unknown): void {
+  apply(key: string, value: unknown): void {
     this.mirror.apply({ key, value, version: ++this.#version, deleted: false });
   }
 
   head(revision: number, pieces: number): void {
     const id = `r${revision}`;
-    this.hear(keys.configurationHead, { revision, id, pieces, by: "x", why: "", at: 0 });
+    this.apply(keys.configurationHead, { revision, id, pieces, by: "x", why: "", at: 0 });
   }
 
   piece(revision: number, number: number, cpus: number): void {
     const value = { teams: [{ name: "red", limit: { cpus } }], groups: [] };
-    this.hear(keys.configurationPiece(`r${revision}`, number), value);
+    this.apply(keys.configurationPiece(`r${revision}`, number), value);
   }
 }
 
-test("configuration: in the middle of a listing a revision does not count, after it it does", async () => {
+test("configuration: a revision read during a listing comes into force only after the listing", async () => {
   const follower = new Follower();
   follower.mirror.ready = false;
   follower.head(1, 1);
@@ -68,19 +68,19 @@
   assert.equal(follower.live.limits.get("red")?.cpus, 9);
 });
 
-test("configuration: pieces that come late are waited for under the old condition, for a lease", async () => {
-  for (const late of [2000, 20_000]) {
+test("configuration: while pieces are missing the old condition stays, for a lease; then the revision is refused", async () => {
+  for (const arrivalMs of [2000, 20_000]) {
     const follower = new Follower();
     follower.head(1, 2);
     follower.piece(1, 1, 9);
-    await follower.clock.run(late);
-    const refused = late > 12_000;
+    await follower.clock.run(arrivalMs);
+    const refused = arrivalMs > 12_000;
     assert.equal(follower.live.condition().version, refused ? 1 : 0);
     assert.equal(follower.live.current, !refused);
     follower.piece(1, 0, 8);
     await follower.clock.run(1000);
     assert.equal(follower.live.effective.revision, refused ? 0 : 1);
-    // The next one is used either way.
+    // The next revision comes into force in both cases.
     follower.piece(2, 0, 7);
     follower.head(2, 1);
     assert.equal(follower.live.effective.revision, 2);
--- a/test/configuration-world.test.ts
+++ b/test/configuration-world.test.ts
@@ -3,12 +3,12 @@
 import { keys } from "../src/state/keys.js";
 import { ConfiguredWorld } from "./support/configured.js";
 
-/** What is wrong while limits move; the changes themselves are made by the test. */
-interface Moment {
+/** A fault injected while limits change; the changes themselves are made by the test. */
+interface Disturbance {
   name: string;
   before?(world: ConfiguredWorld): void;
   after?(world: ConfiguredWorld): void;
-  /** Ends what `before` began. */
+  /** Ends the fault that `before` started. */
   end?(world: ConfiguredWorld): void;
 }
 
@@ -18,7 +18,7 @@
   world.clock.after(forMs, () => world.clocks[n]!.thaw());
 };
 
-const moments: Moment[] = [
+const disturbances: Disturbance[] = [
   { name: "nothing is wrong" },
   { name: "a controller ends before", before: (world) => world.crash(1, 6000) },
   { name: "a controller ends after", after: (world) => world.crash(1, 6000) },
@@ -60,25 +60,27 @@
   },
 ];
 
-const TROUBLE_MS = 8000;
+const DISTURBANCE_MS = 8000;
 
 for (const nodes of [3, 7]) {
-  for (const [at, { name, before, after, end }] of moments.entries()) {
+  for (const [index, { name, before, after, end }] of disturbances.entries()) {
     test(`configuration: limits fall and rise while ${name} (${nodes} controllers)`, async () => {
-      const world = new ConfiguredWorld(40 + at, nodes);
+      const world = new ConfiguredWorld(40 + index, nodes);
       await world.ready();
       world.busy(40);
       await world.clock.run(15_000);
       world.trouble(30_000);
       before?.(world);
-      world.clock.after(TROUBLE_MS, () => end?.(world));
-      const made = [world.limit("red", 6), world.limit("blue", 7, 1)];
+      world.clock.after(DISTURBANCE_MS, () => end?.(world));
+      const limitChanges = [world.limit("red", 6), world.limit("blue", 7, 1)];
       await world.clock.run(1500);
       after?.(world);
-      await world.clock.run(TROUBLE_MS + 20_000);
-      made.push(world.limit("red", 20), world.limit("blue", 24, 2));
+      await world.clock.run(DISTURBANCE_MS + 20_000);
+      limitChanges.push(world.limit("red", 20), world.limit("blue", 24, 2));
       await world.clock.run(20_000);
-      const revisions = await Promise.all(made.map((one) => one.then((revision) => revision)));
+      const revisions = await Promise.all(
+        limitChanges.map((one) => one.then((revision) => revision)),
+      );
       assert.ok(
         revisions.every((revision) => revision !== null),
         JSON.stringify(revisions),
@@ -99,33 +101,33 @@
     await world.clock.run(10_000);
     world.trouble(40_000);
     let left = 200;
-    const again = (): void => {
+    const changeLimits = (): void => {
       if (left-- === 0) return;
       void world.limit(left % 2 === 0 ? "red" : "blue", 4 + ((left * 7) % 20), left % nodes);
-      world.clock.after(100, again);
+      world.clock.after(100, changeLimits);
     };
-    again();
-    let deepest = 0;
-    const look = (): void => {
+    changeLimits();
+    let lowestLevel = 0;
+    const sampleLevels = (): void => {
       for (const { writes } of world.stores)
-        deepest = Math.min(deepest, writes.level / writes.burst);
-      world.clock.after(100, look);
+        lowestLevel = Math.min(lowestLevel, writes.level / writes.burst);
+      world.clock.after(100, sampleLevels);
     };
-    look();
+    sampleLevels();
     world.clock.after(6000, () => world.crash(0, 4000));
     world.clock.after(12_000, () => world.crash(2, 4000));
     await world.clock.run(60_000);
-    // A flood of revisions keeps nobody from placing for longer than a few seconds.
-    assert.ok(deepest > -2, `${deepest} bursts`);
-    assert.ok(world.made.size > 20, `${world.made.size} made`);
-    assert.equal(world.made.has(world.revision), true);
+    // Frequent revisions must not keep any controller from placing for more than a few seconds.
+    assert.ok(lowestLevel > -2, `${lowestLevel} bursts`);
+    assert.ok(world.appliedRevisions.size > 20, `${world.appliedRevisions.size} made`);
+    assert.equal(world.appliedRevisions.has(world.revision), true);
     for (const [node, revision] of world.deciders()) assert.equal(revision, world.revision, node);
     assert.deepEqual(world.violations, []);
     world.stop();
   });
 }
 
-test("configuration: two authors at once: one is told by whom it was overtaken", async () => {
+test("configuration: of two concurrent changes one gets 409 with the author of the other", async () => {
   const world = new ConfiguredWorld(5, 3);
   await world.ready();
   await world.clock.run(2000);
@@ -142,7 +144,7 @@
   world.stop();
 });
 
-test("configuration: a repeated request is made once", async () => {
+test("configuration: a repeated request is applied once", async () => {
   const world = new ConfiguredWorld(6, 3);
   await world.ready();
   const change = { teams: [{ name: "red", weight: 3 }], groups: [] };
@@ -151,15 +153,15 @@
   const third = world.change(2, change, 0, "same");
   await world.clock.run(1000);
   const answers = await Promise.all([first, second, third]);
-  // Who came second within a moment may be told that it was overtaken, by itself; later it is known.
+  // A repetition within a moment may get 409, overtaken by itself; a later one is recognised.
   assert.equal(answers[2]?.status, 200);
   assert.equal(world.revision, 1);
   world.stop();
 });
 
-test("configuration: placements depend on the revision: without it, they rise above a lowered limit", async () => {
-  const broken = new Set<string>();
-  for (let seed = 1; seed <= 6 && broken.size === 0; seed++) {
+test("configuration: without the condition on the revision, placements rise above a lowered limit", async () => {
+  const brokenRules = new Set<string>();
+  for (let seed = 1; seed <= 6 && brokenRules.size === 0; seed++) {
     const world = new ConfiguredWorld(seed, 3, { ignoreConditions: /^w\/c\/head$/ });
     await world.ready();
     world.busy(40);
@@ -171,13 +173,13 @@
       void world.limit("red", 2, 0);
       await world.clock.run(4000);
     }
-    for (const { rule } of world.violations) broken.add(rule);
+    for (const { rule } of world.violations) brokenRules.add(rule);
     world.stop();
   }
-  assert.ok(broken.has("limit in force"), [...broken].join());
+  assert.ok(brokenRules.has("limit in force"), [...brokenRules].join());
 });
 
-test("configuration: a revision that cannot be read changes nothing, ends nobody, and nothing grows", async () => {
+test("configuration: an unusable revision changes nothing, stops no controller, and no use grows", async () => {
   const world = new ConfiguredWorld(9, 3);
   await world.ready();
   world.busy(30);
@@ -208,7 +210,7 @@
     [2, 2, 2],
   );
   assert.ok(world.controllers.every((controller) => controller !== null));
-  // The checker takes the bad revision's word; what counts is that red stays within the first one's.
+  // The checker applies the bad revision; the test is that red stays within the limit of the first.
   const broken = world.violations.filter(({ rule }) => rule !== "waiting");
   assert.deepEqual(broken, []);
   const refused = world.change(0, { teams: [{ name: "red", weight: 2 }], groups: [] }, 2);
@@ -217,10 +219,10 @@
   world.stop();
 });
 
-test("configuration: nothing is applied before all controllers follow revisions, and then an older program ends", async () => {
+test("configuration: no change is applied before all controllers support revisions; then the schema is upgraded", async () => {
   const world = new ConfiguredWorld(10, 3);
   await world.ready();
-  // One that is there and knows no more than the second schema.
+  // One controller is present and supports only the second schema.
   const key = keys.node("n2");
   const row = world.state.rows.get(key)!;
   row.value = { ...(row.value as object), schema: 2 };
--- a/test/configuration.test.ts
+++ b/test/configuration.test.ts
@@ -33,7 +33,7 @@
 };
 const set = (overrides: Partial<Overrides>): Overrides => ({ ...NO_OVERRIDES, ...overrides });
 
-test("configuration: without a revision all is as at start", () => {
+test("configuration: without a revision the configuration at start is in force", () => {
   const { groups, limits, guarantees, revision } = effectiveConfiguration(base, NO_OVERRIDES, 0);
   assert.equal(revision, 0);
   assert.deepEqual(groups, base.groups);
@@ -41,63 +41,63 @@
   assert.deepEqual(guarantees.get("blue"), { cpus: 4, gpus: 1 });
 });
 
-const faults: { name: string; overrides: Partial<Overrides>; says: string | null }[] = [
-  { name: "nothing", overrides: {}, says: null },
+const overrideCases: { name: string; overrides: Partial<Overrides>; expected: string | null }[] = [
+  { name: "nothing", overrides: {}, expected: null },
   {
     name: "a limit below",
     overrides: { teams: [{ name: "red", limit: { cpus: 5 } }] },
-    says: null,
+    expected: null,
   },
   {
     name: "a limit as it is",
     overrides: { teams: [{ name: "red", limit: { cpus: 20 } }] },
-    says: null,
+    expected: null,
   },
   {
     name: "a limit above",
     overrides: { teams: [{ name: "red", limit: { cpus: 21 } }] },
-    says: "red: a limit of 21 CPUs is above the platform's, 20",
+    expected: "red: a limit of 21 CPUs is above the platform's, 20",
   },
   {
     name: "a limit of GPUs above",
     overrides: { teams: [{ name: "blue", limit: { gpus: 3 } }] },
-    says: "blue: a limit of 3 GPUs is above the platform's, 2",
+    expected: "blue: a limit of 3 GPUs is above the platform's, 2",
   },
   {
     name: "a limit of nothing",
     overrides: { teams: [{ name: "red", limit: { cpus: 0 } }] },
-    says: "red: a limit of 0 CPUs would mean no limit; expected more than 0",
+    expected: "red: a limit of 0 CPUs would mean no limit; expected more than 0",
   },
   {
     name: "a limit where there is none",
     overrides: { teams: [{ name: "free", limit: { cpus: 5 } }] },
-    says: "free: has no limit of CPUs on the platform, and none can be set while serving",
+    expected: "free: has no limit of CPUs on the platform, and none can be set while serving",
   },
   {
     name: "a guarantee above the limit",
     overrides: { teams: [{ name: "red", guarantee: { cpus: 90 } }] },
-    says: null,
+    expected: null,
   },
   {
     name: "a team that is unknown",
     overrides: { teams: [{ name: "rde" }] },
-    says: "the platform has no team rde",
+    expected: "the platform has no team rde",
   },
   {
     name: "a group that is unknown",
     overrides: { teams: [{ name: "red", group: "cold" }] },
-    says: "red: unknown group cold",
+    expected: "red: unknown group cold",
   },
   {
     name: "a new group",
     overrides: { groups: [{ name: "cold" }], teams: [{ name: "red", group: "cold" }] },
-    says: null,
+    expected: null,
   },
-  { name: "the root", overrides: { teams: [{ name: "red", group: "" }] }, says: null },
+  { name: "the root", overrides: { teams: [{ name: "red", group: "" }] }, expected: null },
   {
     name: "an unknown parent",
     overrides: { groups: [{ name: "cold", parent: "ice" }] },
-    says: "cold: unknown parent ice",
+    expected: "cold: unknown parent ice",
   },
   {
     name: "a circle",
@@ -107,21 +107,21 @@
         { name: "warm", parent: "cold" },
       ],
     },
-    says: "group warm is inside itself",
+    expected: "group warm is inside itself",
   },
   {
     name: "a group with a team's name",
     overrides: { groups: [{ name: "blue" }] },
-    says: "blue is the name of a team",
+    expected: "blue is the name of a team",
   },
 ];
-for (const { name, overrides, says } of faults) {
-  test(`configuration: ${name}: ${says ?? "taken"}`, () => {
-    assert.equal(configurationProblem(base, set(overrides))?.reason ?? null, says);
+for (const { name, overrides, expected } of overrideCases) {
+  test(`configuration: ${name}: ${expected ?? "accepted"}`, () => {
+    assert.equal(configurationProblem(base, set(overrides))?.reason ?? null, expected);
   });
 }
 
-test("configuration: changes of one author after the other add up, and say what differs", () => {
+test("configuration: successive changes are merged, and their differences are listed", () => {
   const first = merge(NO_OVERRIDES, set({ teams: [{ name: "red", limit: { cpus: 9 } }] }));
   const second = merge(
     first,
@@ -153,7 +153,7 @@
   ]);
 });
 
-test("configuration: guarantees that do not fit are told with the figures", () => {
+test("configuration: guarantees above limit or capacity give warnings with the figures", () => {
   const effective = effectiveConfiguration(
     base,
     set({ teams: [{ name: "red", guarantee: { cpus: 30 } }] }),
@@ -166,7 +166,7 @@
   assert.deepEqual(warningsOf(effectiveConfiguration(base, NO_OVERRIDES, 0), null), []);
 });
 
-test("configuration: pieces hold all of the content, each within its bytes", () => {
+test("configuration: pieces contain all of the content, each within the size limit", () => {
   const team = fc.record({
     name: fc.string({ minLength: 1, maxLength: 60 }),
     limit: fc.record({ cpus: fc.nat(5000) }),
@@ -190,39 +190,39 @@
   assert.equal(splitIntoPieces({ teams: [{ name: "x".repeat(150) }], groups: [] }, 100), null);
 });
 
-const files: { name: string; text: string; says: RegExp }[] = [
-  { name: "no protobuf text", text: 'team {\n name: "red"\n limit: {', says: /^f:\d+: / },
-  { name: "an unknown field", text: 'team {\n name: "red"\n colour: 3\n}', says: /^f:3: / },
+const invalidFiles: { name: string; text: string; expected: RegExp }[] = [
+  { name: "no protobuf text", text: 'team {\n name: "red"\n limit: {', expected: /^f:\d+: / },
+  { name: "an unknown field", text: 'team {\n name: "red"\n colour: 3\n}', expected: /^f:3: / },
   {
     name: "what cannot change",
     text: "rental { dear: 2 }",
-    says: /^f:1: rental cannot be changed while serving/,
+    expected: /^f:1: rental cannot be changed while serving/,
   },
   {
     name: "a team twice",
     text: 'team { name: "red" weight: 2 }\nteam { name: "red" }',
-    says: /^f:1: red is there twice/,
+    expected: /^f:1: red is there twice/,
   },
   {
     name: "a negative limit",
     text: 'team { name: "blue" }\nteam { name: "red" limit { cpus: -4 } }',
-    says: /^f:2: red: amounts are 0 or more/,
+    expected: /^f:2: red: amounts are 0 or more/,
   },
   {
     name: "a weight of 0",
     text: 'team { name: "red" weight: 0 }',
-    says: /^f:1: red: .* a weight is above 0/,
+    expected: /^f:1: red: .* a weight is above 0/,
   },
-  { name: "no name", text: "team { weight: 2 }", says: /^f:1: a name is missing/ },
-  { name: "nothing", text: "# later", says: /^f:1: the file changes nothing/ },
+  { name: "no name", text: "team { weight: 2 }", expected: /^f:1: a name is missing/ },
+  { name: "nothing", text: "# later", expected: /^f:1: the file changes nothing/ },
 ];
-for (const { name, text, says } of files) {
+for (const { name, text, expected } of invalidFiles) {
   test(`configuration: a file with ${name} is refused with file and line`, () => {
-    assert.throws(() => readChange({ file: "f", text }), { message: says });
+    assert.throws(() => readChange({ file: "f", text }), { message: expected });
   });
 }
 
-test("configuration: a file is read, and what a controller finds wrong has its line", () => {
+test("configuration: a file is read, and errors found by a controller are reported with its line", () => {
   const text =
     '# weights\nteam { name: "red" weight: 2 limit { cpus: 9 } }\ngroup { name: "cold" }';
   const { change, refuse } = readChange({ file: "f", text });
@@ -233,7 +233,7 @@
   assert.throws(() => refuse("no team red", "red"), { message: "f:2: no team red" });
 });
 
-test("configuration: guarantees and limits in the files at start are refused", () => {
+test("configuration: guarantees and limits in the settings at start are refused", () => {
   assert.throws(() => parseTuning('team { name: "red" limit { cpus: 3 } }', "t", teams), {
     message: /^t:1: red: guarantees and limits are set by `birchdale config apply`/,
   });
--- a/test/processes.test.ts
+++ b/test/processes.test.ts
@@ -12,15 +12,18 @@
 const PROGRAM = fileURLToPath(new URL("../src/main.js", import.meta.url));
 const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
-interface Shown {
+interface ClusterStatus {
   parts: { owner: string | null }[];
   controllers: { name: string; state: string }[];
 }
 
-/** Real processes on loopback: killed, stopped for longer than a lease and resumed, told to end. */
+/**
+ * Real processes on loopback: one is killed, one stopped longer than a lease and resumed, one
+ * terminated.
+ */
 test("processes: SIGKILL, SIGSTOP and SIGCONT, SIGTERM, under load", async () => {
-  const where = new Map<string, string>();
-  const twice: string[] = [];
+  const hostByPiece = new Map<string, string>();
+  const duplicateStarts: string[] = [];
   const platform = new Platform({
     controllers: 4,
     machines: 3,
@@ -30,9 +33,10 @@
     leaseS: 3,
     cancelS: 10,
     watch: ({ kind, piece, host }) => {
-      if (kind === "ended") where.delete(piece);
-      else if (where.has(piece)) twice.push(`${piece} on ${where.get(piece)} and ${host}`);
-      else where.set(piece, host);
+      if (kind === "ended") hostByPiece.delete(piece);
+      else if (hostByPiece.has(piece))
+        duplicateStarts.push(`${piece} on ${hostByPiece.get(piece)} and ${host}`);
+      else hostByPiece.set(piece, host);
     },
   });
   const folder = mkdtempSync(join(tmpdir(), "birchdale-test-"));
@@ -43,15 +47,15 @@
     const env = { ...process.env, LOG_LEVEL: "silent" };
     children[n] = spawn(process.execPath, args, { stdio: "ignore", env });
   };
-  const until = async (what: () => Promise<boolean>, why: string): Promise<void> => {
+  const waitUntil = async (condition: () => Promise<boolean>, failure: string): Promise<void> => {
     for (let n = 0; n < 600; n++) {
-      if (await what().catch(() => false)) return;
+      if (await condition().catch(() => false)) return;
       await pause(50);
     }
-    assert.fail(why);
+    assert.fail(failure);
   };
-  const owners = async (asked: number): Promise<(string | null)[]> =>
-    ((await clients[asked]!.status()) as Shown).parts.map(({ owner }) => owner);
+  const owners = async (index: number): Promise<(string | null)[]> =>
+    ((await clients[index]!.status()) as ClusterStatus).parts.map(({ owner }) => owner);
   try {
     await platform.start(0);
     for (const [n, text] of platform.files.entries()) {
@@ -61,9 +65,9 @@
     }
     const names = platform.settings.map(({ node_name }) => node_name);
     assert.ok(await platform.ready());
-    await until(
+    await waitUntil(
       async () => (await owners(0)).every((owner, n) => owner === names[n]),
-      "not at home",
+      "the parts are not owned by their home controllers",
     );
     const front = new JobClient(platform.front.address);
     clients.push(front);
@@ -90,35 +94,38 @@
     for (const uid of jobs.slice(0, 4)) await front.submit(body(uid));
 
     children[1]!.kill("SIGKILL");
-    await until(async () => {
+    await waitUntil(async () => {
       const now = await owners(0);
       return now[1] !== null && now[1] !== names[1];
-    }, "nobody took the part of a killed controller");
+    }, "no controller took over the part of the killed one");
     launch(1);
 
     children[2]!.kill("SIGSTOP");
-    await until(async () => {
+    await waitUntil(async () => {
       const now = await owners(0);
       return now[2] !== null && now[2] !== names[2];
-    }, "nobody took the part of a stopped controller");
+    }, "no controller took over the part of the stopped one");
     for (const uid of jobs.slice(4)) await front.submit(body(uid));
     children[2]!.kill("SIGCONT");
-    // It learns that it was replaced, and gets its part back once it has stood for a while.
-    await until(async () => (await owners(2))[2] === names[2], "it did not come back");
+    // It learns that it was replaced, and gets its part back once it is stable again.
+    await waitUntil(
+      async () => (await owners(2))[2] === names[2],
+      "the resumed controller did not get its part back",
+    );
 
     const ended = once(children[3]!, "exit");
     children[3]!.kill("SIGTERM");
     const [code] = (await ended) as [number | null];
     assert.equal(code, 0);
-    // Before its process ended, not a lease later.
+    // The part was handed over before the process ended, not a lease later.
     const claim = platform.state.rows.get("w/p/3")?.value as { node: string } | undefined;
     assert.ok(claim !== undefined && claim.node !== names[3], JSON.stringify(claim));
 
     for (const uid of jobs) {
-      await until(async () => (await front.show(uid)).status === "done", `${uid} is not done`);
+      await waitUntil(async () => (await front.show(uid)).status === "done", `${uid} is not done`);
     }
-    assert.deepEqual(twice, []);
-    const { controllers } = (await clients[0]!.status()) as Shown;
+    assert.deepEqual(duplicateStarts, []);
+    const { controllers } = (await clients[0]!.status()) as ClusterStatus;
     assert.deepEqual(controllers.map(({ name }) => name).sort(), names.slice(1).sort());
   } finally {
     for (const child of children) child.kill("SIGKILL");
--- a/test/questions.test.ts
+++ b/test/questions.test.ts
@@ -7,7 +7,7 @@
 import { service } from "./support/store.js";
 import { World } from "./support/world.js";
 
-async function followed(seed = 1) {
+async function startMirror(seed = 1) {
   const { clock, state, store } = service(seed);
   const mirror = new Mirror(store, clock, quiet, 1000);
   void mirror.run();
@@ -21,10 +21,10 @@
   return { clock, state, store, mirror, asked: () => watches };
 }
 
-test("questions: what is read after `current` has every change made before", async () => {
+test("questions: a read after `waitUntilCurrent` sees every change made before", async () => {
   for (let seed = 1; seed <= 40; seed++) {
-    const { clock, state, mirror } = await followed(seed);
-    // At any moment of a watch's life: while it is on its way, waits, or has just returned.
+    const { clock, state, mirror } = await startMirror(seed);
+    // The seed varies the moment in the watch's cycle: sent, waiting, or just returned.
     await clock.run(seed * 7);
     state.transact([], [{ put: "w/j/x", value: seed }]);
     let read: unknown = "no answer";
@@ -37,10 +37,10 @@
   }
 });
 
-test("questions: an answer that was on its way when it was asked does not count", async () => {
-  const { clock, state, store, mirror } = await followed();
+test("questions: a watch answer that was in flight at the time of the request is not taken as current", async () => {
+  const { clock, state, store, mirror } = await startMirror();
   const watch = store.watch.bind(store);
-  // What the service says is read at once, and takes its time to arrive.
+  // The service reads its state at once, but the answer arrives 300 ms later.
   store.watch = async (prefix, after, waitMs) => {
     const seen = await watch(prefix, after, waitMs);
     await new Promise<void>((resolve) => {
@@ -50,7 +50,7 @@
   };
   state.transact([], [{ put: "w/j/a", value: 1 }]);
   await clock.run(100);
-  // The watch is told of this, and its answer is on its way when the next change is made.
+  // The watch returns this change; its answer is in flight when the next change is made.
   state.transact([], [{ put: "w/j/b", value: 2 }]);
   await clock.run(50);
   state.transact([], [{ put: "w/j/x", value: "new" }]);
@@ -63,8 +63,8 @@
   mirror.stop();
 });
 
-test("questions: many at once share few requests, and fail together when the store does not tell", async () => {
-  const { clock, store, mirror, asked } = await followed();
+test("questions: many concurrent requests share few watches, and fail together when the store refuses", async () => {
+  const { clock, store, mirror, asked } = await startMirror();
   let answered = 0;
   for (let i = 0; i < 1000; i++) {
     clock.after(i, () => void mirror.waitUntilCurrent().then(() => answered++));
@@ -84,7 +84,7 @@
   assert.equal(await after, "stopped");
 });
 
-test("questions: polls for open jobs cost the store no request each", async () => {
+test("questions: polling open jobs causes no store requests", async () => {
   const world = new World(3, 3, [{ name: "red", cpus: 8, max: 20 }], 4);
   await world.clock.run(20_000);
   const job = world.submit("wk-400000", { team: "red", tasks: 4, runMs: 60_000 });
@@ -110,15 +110,15 @@
   assert.deepEqual(world.violations, []);
 });
 
-test("turns: those who cannot be served come back one after the other", () => {
+test("turns: rejected requests get increasing Retry-After delays", () => {
   const clock = new FakeClock();
-  const turns = new RetryAfterQueue(() => 4, clock);
-  const told = Array.from({ length: 12 }, () => turns.nextDelayS());
-  assert.deepEqual(told, [1, 2, 2, 2, 2, 3, 3, 3, 3, 4, 4, 4]);
-  for (let i = 0; i < 500; i++) assert.ok(turns.nextDelayS() <= 30);
+  const retries = new RetryAfterQueue(() => 4, clock);
+  const delays = Array.from({ length: 12 }, () => retries.nextDelayS());
+  assert.deepEqual(delays, [1, 2, 2, 2, 2, 3, 3, 3, 3, 4, 4, 4]);
+  for (let i = 0; i < 500; i++) assert.ok(retries.nextDelayS() <= 30);
 });
 
-test("submissions: guests leave the changes to the others, and are told when to come back", async () => {
+test("submissions: borrowers get at most half of the writes, then 429; other teams get 503 only beyond the burst", async () => {
   const teams = [
     { name: "red", cpus: 8, max: 20 },
     { name: "guests", cpus: 0, max: 0 },
@@ -130,51 +130,65 @@
     world.submit(id, { team, tasks: 1 });
     return world.jobs.get(id)!.body;
   };
-  // Far more guests at once than there are changes for.
-  const asked: Promise<{ status: number } | null>[] = [];
+  // Far more submissions of guests at once than writes available.
+  const guestAnswers: Promise<{ status: number } | null>[] = [];
   for (let i = 0; i < 100; i++) {
-    asked.push(
+    guestAnswers.push(
       world.ask(0, "POST", "/api/jobs", body(`wk-51${String(i).padStart(4, "0")}`, "guests")),
     );
   }
-  const own = world.ask(0, "POST", "/api/jobs", body("wk-500002", "red"));
+  const ownAnswer = world.ask(0, "POST", "/api/jobs", body("wk-500002", "red"));
   await world.clock.run(100);
-  const answers = await Promise.all(asked);
-  const taken = [...world.state.rows.keys()].filter((key) => key.startsWith("w/j/wk-51")).length;
-  // Each is sent twice at once: by its user, and here.
-  assert.ok(taken >= 10 && taken <= 30, `${taken} taken with half of 60 changes`);
+  const answers = await Promise.all(guestAnswers);
+  const acceptedGuests = [...world.state.rows.keys()].filter((key) =>
+    key.startsWith("w/j/wk-51"),
+  ).length;
+  // Each job is submitted twice at once: by its simulated user and by this test.
+  assert.ok(
+    acceptedGuests >= 10 && acceptedGuests <= 30,
+    `${acceptedGuests} accepted with half of 60 writes`,
+  );
   assert.ok(answers.every((answer) => [200, 201, 429].includes(answer?.status ?? 0)));
-  const status = (await own)?.status;
-  assert.ok(status === 201 || status === 200, `${status}: own work waits for no guest`);
+  const status = (await ownAnswer)?.status;
+  assert.ok(
+    status === 201 || status === 200,
+    `${status}: a team with a guarantee does not wait for guests`,
+  );
   writes.force(writes.burst * 3);
   const answer = world.ask(0, "POST", "/api/jobs", body("wk-500003", "red"));
   await world.clock.run(100);
-  assert.equal((await answer)?.status, 503, "a debt has an end, for everybody");
+  assert.equal((await answer)?.status, 503, "the rate limiter may not be overdrawn without bound");
   await world.clock.run(300_000);
   world.stop();
   assert.ok([...world.jobs.values()].every(({ toldDone }) => toldDone));
 });
 
-// A submission that is none, for an id that has or has not been accepted; `cut`: this node alone.
-const repeats: { name: string; more: object; accepted: boolean; cut?: boolean; status: number }[] =
-  [
-    { name: "lacks a field", more: { cores: undefined }, accepted: true, status: 200 },
-    { name: "fits no machine", more: { cores: 1000 }, accepted: true, status: 200 },
-    { name: "is of no team", more: { owner: "nobody" }, accepted: true, status: 200 },
-    { name: "lacks a field", more: { cores: undefined }, accepted: false, status: 400 },
-    { name: "fits no machine", more: { cores: 1000 }, accepted: false, status: 422 },
-    { name: "has no id", more: { uid: 7 }, accepted: true, status: 400 },
-    { name: "lacks a field", more: { cores: undefined }, accepted: true, cut: true, status: 503 },
-  ];
-for (const { name, more, accepted, cut = false, status } of repeats) {
-  const whose = accepted ? "a job that was accepted" : "a job that was not";
+// Invalid submissions for ids that were or were not accepted; `cut`: sent only to a node whose
+// store refuses requests.
+const invalidSubmissions: {
+  name: string;
+  changes: object;
+  accepted: boolean;
+  cut?: boolean;
+  status: number;
+}[] = [
+  { name: "lacks a field", changes: { cores: undefined }, accepted: true, status: 200 },
+  { name: "fits no machine", changes: { cores: 1000 }, accepted: true, status: 200 },
+  { name: "is of no team", changes: { owner: "nobody" }, accepted: true, status: 200 },
+  { name: "lacks a field", changes: { cores: undefined }, accepted: false, status: 400 },
+  { name: "fits no machine", changes: { cores: 1000 }, accepted: false, status: 422 },
+  { name: "has no id", changes: { uid: 7 }, accepted: true, status: 400 },
+  { name: "lacks a field", changes: { cores: undefined }, accepted: true, cut: true, status: 503 },
+];
+for (const { name, changes, accepted, cut = false, status } of invalidSubmissions) {
+  const whose = accepted ? "an accepted job" : "a job not accepted";
   test(`questions: a submission of ${whose} ${name}${cut ? ", store refused" : ""}: ${status}`, async () => {
     const world = new World(4, 3, [{ name: "red", cpus: 8, max: 8 }], 4);
     await world.clock.run(20_000);
     const job = world.submit("wk-400000", { team: "red", tasks: 1, runMs: 60_000 });
     await world.clock.run(2000);
-    const body = { ...job.body, ...(accepted ? {} : { uid: "wk-400001" }), ...more };
-    // At once after it was accepted elsewhere, every node has to know.
+    const body = { ...job.body, ...(accepted ? {} : { uid: "wk-400001" }), ...changes };
+    // Every node must know of the accepted job at once.
     if (cut) world.stores[1]!.refused = true;
     for (const n of cut ? [1] : [0, 1, 2]) {
       const answer = await world.clock.within(world.ask(n, "POST", "/api/jobs", body), 10_000);
--- a/test/support/configured.ts
+++ b/test/support/configured.ts
@@ -19,30 +19,30 @@
   { name: "red", cpus: 12, max: 24 },
   { name: "blue", cpus: 8, max: 24 },
 ];
-const PARTS = /^c\/\d+\/p\//;
+const CHUNK_PAGE_KEY = /^c\/\d+\/p\//;
 const EPSILON = 1e-6;
 
-/** By team, CPUs. */
+/** CPUs by team. */
 type TeamAmounts = Map<string, { placed: number; slices: number }>;
 
-/** When a limit came into force. */
-interface LimitSince {
+/** A limit and the time at which it came into force. */
+interface LimitChange {
   at: number;
   limit: number;
 }
 
 /**
- * A world whose configuration changes, with a checker: neither placements that are committed nor
- * slices rise above the limit in force, and no start comes by a revision overtaken longer ago than
- * the bound.
+ * A `World` whose configuration changes, with a checker: neither committed placements nor slices
+ * rise above the limit in force, and no task starts under a revision that was replaced longer ago
+ * than the bound.
  */
 export class ConfiguredWorld extends World {
-  /** By team, the limits in force, the oldest first. */
-  readonly limits = new Map<string, LimitSince[]>();
+  /** The limits of each team since the start, oldest first. */
+  readonly limits = new Map<string, LimitChange[]>();
   revision = 0;
-  /** Revisions whose author was told that they were made. */
-  readonly made = new Set<number>();
-  #requests = 0;
+  /** Revisions that were confirmed to their author. */
+  readonly appliedRevisions = new Set<number>();
+  #requestCount = 0;
 
   constructor(
     seed: number,
@@ -55,25 +55,25 @@
     for (const { name, max } of teams) this.limits.set(name, [{ at: 0, limit: max }]);
     this.state.limits = { ...this.state.limits, ...limits };
     for (const store of this.stores) Object.assign(store.limits, limits);
-    const real = this.state.transact.bind(this.state);
+    const transact = this.state.transact.bind(this.state);
     this.state.transact = (when, then) => {
-      const before = this.#amounts();
-      const result = real(when, then);
+      const before = this.#usedAmounts();
+      const result = transact(when, then);
       if (result.ok && then.length > 0) {
-        // The revision that comes into force with this transaction binds those after it.
+        // A revision that comes into force with this transaction applies to later ones only.
         this.#checkRise(before);
-        this.#follow();
+        this.#recordRevision();
       }
       return result;
     };
     this.onStart = (_worker, piece) => this.#checkStart(piece);
   }
 
-  /** By team, CPUs of committed placements, and of all slices. */
-  #amounts(): TeamAmounts {
+  /** CPUs of committed placements and of all slices, by team. */
+  #usedAmounts(): TeamAmounts {
     const amounts = new Map(this.teams.map(({ name }) => [name, { placed: 0, slices: 0 }]));
     for (const [key, { value }] of this.state.rows) {
-      if (!PARTS.test(key)) continue;
+      if (!CHUNK_PAGE_KEY.test(key)) continue;
       for (const [name, { live }] of readPage(value) ?? []) {
         const id = name.slice(0, name.lastIndexOf("/"));
         const header = this.state.rows.get(keys.job(id))?.value;
@@ -91,17 +91,20 @@
   }
 
   #checkRise(before: TeamAmounts): void {
-    for (const [team, now] of this.#amounts()) {
+    for (const [team, current] of this.#usedAmounts()) {
       const limit = this.limits.get(team)!.at(-1)!.limit;
-      const old = before.get(team)!;
+      const earlier = before.get(team)!;
       for (const what of ["placed", "slices"] as const) {
-        if (now[what] > limit + EPSILON && now[what] > old[what] + EPSILON)
-          this.broken("limit in force", `${team} ${what} ${old[what]} -> ${now[what]} of ${limit}`);
+        if (current[what] > limit + EPSILON && current[what] > earlier[what] + EPSILON)
+          this.broken(
+            "limit in force",
+            `${team} ${what} ${earlier[what]} -> ${current[what]} of ${limit}`,
+          );
       }
     }
   }
 
-  #follow(): void {
+  #recordRevision(): void {
     const row = this.state.rows.get(keys.configurationHead);
     if (row === undefined || !isHead(row.value) || row.value.revision === this.revision) return;
     const { id, pieces, revision } = row.value;
@@ -117,7 +120,7 @@
       this.limits.get(team)!.push({ at: this.clock.now(), limit: cpus });
   }
 
-  /** What a team uses on machines after a start may not exceed all limits of the last while. */
+  /** After a start, a team's use on machines may not exceed the highest limit within the bound. */
   #checkStart(piece: string): void {
     const { team } = this.jobOf(piece);
     let use = 0;
@@ -132,17 +135,17 @@
     const bounds = history.filter(
       ({ at }, i) => at >= since || (history[i + 1]?.at ?? Infinity) > since,
     );
-    const most = Math.max(...bounds.map(({ limit }) => limit));
-    if (use > most + EPSILON)
-      this.broken("overtaken revision", `${piece}: ${team} uses ${use} of ${most}`);
+    const highestLimit = Math.max(...bounds.map(({ limit }) => limit));
+    if (use > highestLimit + EPSILON)
+      this.broken("overtaken revision", `${piece}: ${team} uses ${use} of ${highestLimit}`);
   }
 
-  /** From a commit until nothing starts by an older revision: a lease. */
+  /** Longest time from a commit until no task starts under an older revision: a lease. */
   get boundMs(): number {
     return this.leaseMs;
   }
 
-  /** Until revisions may be made. */
+  /** Waits until revisions may be made. */
   async ready(): Promise<void> {
     for (let n = 0; n < 100; n++) {
       if (this.state.rows.has(keys.leader) && this.deciders().size === this.nodes) return;
@@ -155,22 +158,24 @@
     n: number,
     change: Overrides,
     base: number,
-    id = `r${++this.#requests}`,
+    id = `r${++this.#requestCount}`,
   ): Promise<Answer | null> {
     const body = { id, base, by: "test", why: "", change };
     return this.ask(n, "POST", "/about/configuration", body);
   }
 
-  /** Sets a team's limit, as an author who asks again until it is made or somebody else was faster. */
+  /**
+   * Sets a team's limit; retries, with the newest base, until it is made. Null: 60 attempts failed.
+   */
   async limit(team: string, cpus: number, author = 0): Promise<number | null> {
-    const id = `a${++this.#requests}`;
+    const id = `a${++this.#requestCount}`;
     const change = { teams: [{ name: team, limit: { cpus } }], groups: [] };
     for (let attempt = 0; attempt < 60; attempt++) {
       const n = (author + attempt) % this.nodes;
       const answer = await this.change(n, change, this.revision, id);
       if (answer?.status === 200) {
         const { revision } = answer.body as { revision: number };
-        this.made.add(revision);
+        this.appliedRevisions.add(revision);
         return revision;
       }
       await this.sleep(answer?.status === 409 ? 50 : 1000);
@@ -178,21 +183,21 @@
     return null;
   }
 
-  /** Controllers that hold a part, by the revision they say they decide by. */
+  /** The revision that each controller with a part has published. */
   deciders(): Map<string, number | null> {
     const found = new Map<string, number | null>();
     for (let part = 0; part < this.nodes; part++) {
       const claim = this.state.rows.get(keys.claim(part))?.value as { node?: string } | undefined;
       if (claim?.node === undefined) continue;
-      const said = this.state.rows.get(keys.decision(claim.node))?.value as
+      const decision = this.state.rows.get(keys.decision(claim.node))?.value as
         | { revision?: number }
         | undefined;
-      found.set(claim.node, said?.revision ?? null);
+      found.set(claim.node, decision?.revision ?? null);
     }
     return found;
   }
 
-  /** As many small tasks as keep both teams at their limits for a while. */
+  /** Submits enough small tasks to keep both teams at their limits for some time. */
   busy(jobs: number): void {
     for (let n = 0; n < jobs; n++) {
       const team = TEAMS[n % TEAMS.length]!.name;
