--- a/src/diagnose/command.ts
+++ b/src/diagnose/command.ts
@@ -2,43 +2,49 @@
 import { HttpClient } from "../http/client.js";
 import { isMap } from "../wire/cbor.js";
 import { isJobId } from "../wire/jobs.js";
-import { explain, type View } from "./obstacles.js";
-import { lineFor, overview } from "./words.js";
+import { type ControllerView, explainJob } from "./obstacles.js";
+import { formatObstacle, formatOverview } from "./text-output.js";
 
-/** Exit codes: something stands still, or could not be asked; wrong use; nobody answered. */
-const STILL = 1;
-const USAGE = 2;
-const NOBODY = 3;
+/**
+ * Exit codes: a job is stuck or a controller could not be queried; wrong usage; no controller
+ * answered.
+ */
+const EXIT_STUCK = 1;
+const EXIT_USAGE = 2;
+const EXIT_NO_ANSWER = 3;
 
-/** Whoever has not answered by then does not count on being heard by a worker either. */
-const PATIENCE_MS = 4000;
+/** A controller that takes longer than this to answer is too slow to serve workers either. */
+const ANSWER_TIMEOUT_MS = 4000;
 
 interface Options {
   node: string[];
   json?: boolean;
 }
 
-/** A view as it comes over the wire; what is none is not guessed at. */
-export const isView = (body: unknown): body is View =>
+/** Whether a response body has the shape of a view. Any other body counts as no answer. */
+export const isView = (body: unknown): body is ControllerView =>
   isMap(body) &&
   typeof body.node === "string" &&
   Number.isFinite(body.contactS) &&
   Array.isArray(body.owners) &&
   Array.isArray(body.parts);
 
-/** Asks all at once. An address whose answer is no view is unanswered, with the reason. */
-export async function askAll(
+/**
+ * Queries all addresses at the same time. An address whose answer is not a view is listed as
+ * unanswered, with the reason.
+ */
+export async function queryControllers(
   addresses: readonly string[],
   path: string,
-): Promise<{ views: View[]; unanswered: string[] }> {
-  const views: View[] = [];
+): Promise<{ views: ControllerView[]; unanswered: string[] }> {
+  const views: ControllerView[] = [];
   const unanswered: string[] = [];
   const ask = async (address: string): Promise<void> => {
     const client = new HttpClient(address, 1);
     try {
-      const { status, body } = await client.call("GET", path, undefined, PATIENCE_MS);
+      const { status, body } = await client.call("GET", path, undefined, ANSWER_TIMEOUT_MS);
       if (status === 200 && isView(body)) views.push(body);
-      else if (status === 404) unanswered.push(`${address} (diagnose is not switched on there)`);
+      else if (status === 404) unanswered.push(`${address} (diagnose is not enabled there)`);
       else unanswered.push(`${address} (status ${status})`);
     } catch {
       unanswered.push(address);
@@ -53,56 +59,62 @@
 
 const isAddress = (text: string): boolean => /^[^\s:]+:\d{1,5}$/.test(text);
 
-/** `why` and `diagnose`, for the program and for tests. */
+/** Adds the commands `why` and `diagnose` to `program`. Tests pass their own `write`. */
 export function diagnoseCommands(
   program: Command,
   write: (text: string) => void = (text) => process.stdout.write(text),
 ): Command {
-  const node = (command: Command): Command =>
+  const withNodeOptions = (command: Command): Command =>
     command
       .requiredOption(
         "--node <host:port...>",
-        "controllers to ask; the more of them, the more is known",
+        "addresses of controllers to query; list all of them for a complete answer",
       )
       .option("--json", "print JSON");
-  const check = (command: Command, addresses: readonly string[]): void => {
-    const wrong = addresses.find((address) => !isAddress(address));
-    if (wrong !== undefined) {
-      command.error(`error: ${wrong}: not host:port`, { exitCode: USAGE });
+  const checkAddresses = (command: Command, addresses: readonly string[]): void => {
+    const invalid = addresses.find((address) => !isAddress(address));
+    if (invalid !== undefined) {
+      command.error(`error: invalid address ${invalid}: expected host:port`, {
+        exitCode: EXIT_USAGE,
+      });
     }
   };
-  const nobody = (command: Command, unanswered: readonly string[]): never =>
-    command.error(`error: nobody answered: ${unanswered.join(", ")}`, {
-      exitCode: NOBODY,
+  const failWithoutAnswer = (command: Command, unanswered: readonly string[]): never =>
+    command.error(`error: no controller answered: ${unanswered.join(", ")}`, {
+      exitCode: EXIT_NO_ANSWER,
       code: "diagnose.nobody",
     });
-  const why = node(program.command("why"))
-    .description("say why a job stands still, in plain words")
+  const whyCommand = withNodeOptions(program.command("why"))
+    .description("explain why a job is not progressing")
     .argument("<job>")
     .action(async (id: string, options: Options) => {
-      check(why, options.node);
-      if (!isJobId(id)) why.error(`error: ${id}: no job has such an id`, { exitCode: USAGE });
-      const { views, unanswered } = await askAll(options.node, `/about/why/${id}`);
-      if (views.length === 0) nobody(why, unanswered);
-      const found = explain(id, views, unanswered);
-      const lines = found.map(lineFor);
-      for (const address of unanswered) lines.push(`not known: what ${address} would say`);
+      checkAddresses(whyCommand, options.node);
+      if (!isJobId(id)) whyCommand.error(`error: invalid job id ${id}`, { exitCode: EXIT_USAGE });
+      const { views, unanswered } = await queryControllers(options.node, `/about/why/${id}`);
+      if (views.length === 0) failWithoutAnswer(whyCommand, unanswered);
+      const obstacles = explainJob(id, views, unanswered);
+      const lines = obstacles.map(formatObstacle);
+      for (const address of unanswered) lines.push(`not known: no answer from ${address}`);
       write(
-        options.json ? `${JSON.stringify({ id, found, unanswered })}\n` : `${lines.join("\n")}\n`,
+        options.json
+          ? `${JSON.stringify({ id, found: obstacles, unanswered })}\n`
+          : `${lines.join("\n")}\n`,
       );
-      const well = found.every(({ kind }) => ["running", "over", "about to start"].includes(kind));
-      process.exitCode = well && unanswered.length === 0 ? 0 : STILL;
+      const isHealthy = obstacles.every(({ kind }) =>
+        ["running", "over", "about to start"].includes(kind),
+      );
+      process.exitCode = isHealthy && unanswered.length === 0 ? 0 : EXIT_STUCK;
     });
-  const all = node(program.command("diagnose"))
-    .description("say what stands still in the whole cluster")
+  const diagnoseCommand = withNodeOptions(program.command("diagnose"))
+    .description("list what is stuck in the whole cluster")
     .action(async (options: Options) => {
-      check(all, options.node);
-      const { views, unanswered } = await askAll(options.node, "/about/diagnose");
-      if (views.length === 0) nobody(all, unanswered);
-      const text = overview(views, unanswered).join("\n");
+      checkAddresses(diagnoseCommand, options.node);
+      const { views, unanswered } = await queryControllers(options.node, "/about/diagnose");
+      if (views.length === 0) failWithoutAnswer(diagnoseCommand, unanswered);
+      const text = formatOverview(views, unanswered).join("\n");
       write(options.json ? `${JSON.stringify({ views, unanswered })}\n` : `${text}\n`);
-      const still = views.some(({ parts }) => parts.some(({ jobs }) => jobs.length > 0));
-      process.exitCode = still || unanswered.length > 0 ? STILL : 0;
+      const isAnyStuck = views.some(({ parts }) => parts.some(({ jobs }) => jobs.length > 0));
+      process.exitCode = isAnyStuck || unanswered.length > 0 ? EXIT_STUCK : 0;
     });
   return program;
 }
--- a/src/diagnose/index.ts
+++ b/src/diagnose/index.ts
@@ -1,7 +1,8 @@
 /**
- * Says why: `birchdale why JOB` and `birchdale diagnose` ask the controllers, and a watch logs work
- * within guarantees that does not move. Switched on by the message `diagnose` in the operators'
- * settings (`deploy/diagnose.textproto`); `docs/diagnose.md` is the page for people on call.
+ * Explains why jobs do not progress: `birchdale why JOB` and `birchdale diagnose` query the
+ * controllers, and a periodic check logs stuck jobs within a guarantee. Enabled by the message
+ * `diagnose` in the operators' settings (`deploy/diagnose.textproto`); `docs/diagnose.md` is the
+ * on-call guide.
  */
 import type { Attachment, Core, Extension } from "../extension/index.js";
 import type { Route } from "../http/server.js";
@@ -9,22 +10,32 @@
 import type { PackageDoor } from "../settings/door.js";
 import { keys } from "../state/keys.js";
 import { isJobId } from "../wire/jobs.js";
-import type { View } from "./obstacles.js";
-import { Watch } from "./watch.js";
+import type { ControllerView } from "./obstacles.js";
+import { StuckJobWatch } from "./stuck-job-watch.js";
 
 export { diagnoseCommands } from "./command.js";
-export { explain, type Kind, type Obstacle, type View, whyWaiting } from "./obstacles.js";
-export { Watch } from "./watch.js";
-export { lineFor, MEANING, overview } from "./words.js";
+export {
+  type ControllerView,
+  explainJob,
+  type Obstacle,
+  type ObstacleKind,
+  waitReason,
+} from "./obstacles.js";
+export { StuckJobWatch } from "./stuck-job-watch.js";
+export {
+  formatObstacle,
+  formatOverview,
+  REMEDIES,
+} from "./text-output.js";
 
-/** The part behind a header's character for an owner; null for a chunk that has finished. */
-const partOf = (owner: string, parts: number): number | null => {
+/** The part that an owner character of a job header stands for; null for a finished chunk. */
+const partOfOwnerChar = (owner: string, parts: number): number | null => {
   for (let part = 0; part < parts; part++) if (partChar(part) === owner) return part;
   return null;
 };
 
-/** What this controller can say, about one job or about all work that stands still. */
-export function viewOf(core: Core, id: string | null, stuckMs: number): View {
+/** What this controller knows of one job or, when `id` is null, of all stuck jobs. */
+export function buildView(core: Core, id: string | null, stuckMs: number): ControllerView {
   const { mirror, layout, claims, settings } = core;
   const value = id === null ? undefined : mirror.rows.get(keys.job(id))?.value;
   const header = value !== undefined && isHeader(value) ? value : null;
@@ -43,41 +54,41 @@
         : {
             status: header.status,
             tasks: header.tasks,
-            parts: [...header.owners].map((owner) => partOf(owner, layout.parts)),
+            parts: [...header.owners].map((owner) => partOfOwnerChar(owner, layout.parts)),
           },
     parts,
     rental,
   };
 }
 
-class Diagnose implements Extension {
+class DiagnoseExtension implements Extension {
   readonly name = "diagnose";
   readonly teams = [];
 
   constructor(readonly stuckMs: number) {}
 
   attach(core: Core): Attachment {
-    const watch = new Watch(core, this.stuckMs);
-    const all: Route = {
+    const stuckJobWatch = new StuckJobWatch(core, this.stuckMs);
+    const clusterRoute: Route = {
       method: "GET",
-      run: () => ({ status: 200, body: viewOf(core, null, this.stuckMs) }),
+      run: () => ({ status: 200, body: buildView(core, null, this.stuckMs) }),
     };
-    const one: Route = {
+    const jobRoute: Route = {
       method: "GET",
       run: ({ params: [id = ""] }) =>
         isJobId(id)
-          ? { status: 200, body: viewOf(core, id, this.stuckMs) }
-          : { status: 404, body: { error: "no job has such an id" } },
+          ? { status: 200, body: buildView(core, id, this.stuckMs) }
+          : { status: 404, body: { error: "not a valid job id" } },
     };
     return {
-      start: () => watch.start(),
-      stop: () => watch.stop(),
+      start: () => stuckJobWatch.start(),
+      stop: () => stuckJobWatch.stop(),
       find: (path) => {
-        if (path === "/about/diagnose") return { routes: [all], params: [] };
+        if (path === "/about/diagnose") return { routes: [clusterRoute], params: [] };
         const match = /^\/about\/why\/([^/]+)$/.exec(path);
-        return match === null ? null : { routes: [one], params: [match[1]!] };
+        return match === null ? null : { routes: [jobRoute], params: [match[1]!] };
       },
-      metrics: () => watch.metrics(),
+      metrics: () => stuckJobWatch.metrics(),
     };
   }
 }
@@ -89,14 +100,14 @@
     message: "Diagnose",
     schema: `
 message Diagnose {
-  // After how many leases work within a guarantee that has not moved is said to stand still.
+  // A job within a guarantee that makes no progress for this many worker leases is stuck.
   optional double stuck = 1;
 }
 `,
   },
   open: (raw, settings, refuse) => {
     const { stuck = 2 } = (raw ?? {}) as { stuck?: number };
-    if (!(stuck >= 0.5 && stuck <= 100)) refuse("stuck: from 0.5 to 100", "stuck");
-    return new Diagnose(stuck * settings.params.workers.lease_s * 1000);
+    if (!(stuck >= 0.5 && stuck <= 100)) refuse("stuck: must be from 0.5 to 100", "stuck");
+    return new DiagnoseExtension(stuck * settings.params.workers.lease_s * 1000);
   },
 };
--- a/src/diagnose/obstacles.ts
+++ b/src/diagnose/obstacles.ts
@@ -1,25 +1,25 @@
 import type { JobInspection, PartInspection } from "../part/inspect.js";
 
-/** What one controller says when it is asked about a job, or about everything. */
-export interface View {
+/** What one controller answers when it is queried about one job, or about all stuck jobs. */
+export interface ControllerView {
   node: string;
-  /** Seconds since it is known to have seen every change of the state service. */
+  /** Seconds since this controller was last known to have seen every change of the state service. */
   contactS: number;
-  /** Whether its own claims certainly hold. */
+  /** Whether its own claims are certainly still valid. */
   valid: boolean;
-  /** Whether it has read all keys once. */
+  /** Whether it has read all watched keys once. */
   ready: boolean;
   leads: boolean;
-  /** Who owns each part by the claims that it sees; null: nobody. */
+  /** Owner of each part according to the claims this controller sees; null: no owner. */
   owners: (string | null)[];
-  /** The job's header, as it sees it; null when it sees none, or no job was asked for. */
+  /** The job's header as this controller sees it; null if it has none, or no job was queried. */
   job: { status: string; parts: (number | null)[]; tasks: number } | null;
   parts: PartInspection[];
-  /** Machines by state in the cloud's list, and rental as the leader sees it; null: it does not lead. */
+  /** Machine rental as the leader sees it: machines of the cloud's list by state; null: not the leader. */
   rental: { booting: number; overdue: number; reachable: boolean } | null;
 }
 
-export type Kind =
+export type ObstacleKind =
   | "unknown job"
   | "over"
   | "not known"
@@ -47,20 +47,20 @@
   | "about to start"
   | "running";
 
-/** One thing that stands still, or goes on, and why. */
+/** The state of a job, or of its tasks in one part, and the reason for it. */
 export interface Obstacle {
-  kind: Kind;
-  /** The part that it is about; null for the whole job. */
+  kind: ObstacleKind;
+  /** The part concerned; null for the whole job. */
   part: number | null;
-  /** Tasks concerned; 0 when that is not known. */
+  /** Number of tasks concerned; 0 if not known. */
   tasks: number;
-  /** Since when, seconds; null when that cannot be known. */
+  /** For how long, seconds; null if that cannot be known. */
   sinceS: number | null;
-  /** What is known of it in figures, for people. */
+  /** Details with figures, for people. */
   detail: string;
 }
 
-const whole = (kind: Kind, detail: string, tasks = 0): Obstacle => ({
+const jobObstacle = (kind: ObstacleKind, detail: string, tasks = 0): Obstacle => ({
   kind,
   part: null,
   tasks,
@@ -68,153 +68,216 @@
   detail,
 });
 
-/** Why the waiting tasks of a job do not start in the part where they are. The first that holds. */
-export function whyWaiting(
+/** Why the pending tasks of a job do not start in their part: the first reason that applies. */
+export function waitReason(
   job: JobInspection,
   part: PartInspection,
-  rental: View["rental"],
-): { kind: Kind; detail: string } {
+  rental: ControllerView["rental"],
+): { kind: ObstacleKind; detail: string } {
   const { machines } = job;
-  const say = (kind: Kind, detail: string) => ({ kind, detail });
+  const reason = (kind: ObstacleKind, detail: string) => ({ kind, detail });
   if (part.settling)
-    return say("restoring", "nothing is placed before all records are vouched for");
+    return reason(
+      "restoring",
+      "nothing is placed until restore reconciliation has found all running tasks",
+    );
   const [first] = job.awaits ?? [];
   if (first !== undefined) {
-    const others = job.awaits!.length > 1 ? ` and ${job.awaits!.length - 1} more` : "";
-    const due = job.dueS == null ? "" : `, due in ${job.dueS} s`;
-    return say("awaits others", `${first}${others}; done in ${job.expectedS} s by estimates${due}`);
+    const othersText = job.awaits!.length > 1 ? ` and ${job.awaits!.length - 1} more` : "";
+    const dueText = job.dueS == null ? "" : `, due in ${job.dueS} s`;
+    return reason(
+      "awaits others",
+      `${first}${othersText}; expected to be done in ${job.expectedS} s${dueText}`,
+    );
   }
-  if (job.held !== null) return say("held", job.held);
-  if (job.idle) return say("matches nothing", "its requirements are true on no machine there is");
-  if (!job.fitsSome) return say("fits nowhere", `no type holds a task of ${job.cpus} CPUs`);
+  if (job.held !== null) return reason("held", job.held);
+  if (job.idle) return reason("matches nothing", "no machine satisfies its requirements");
+  if (!job.fitsSome)
+    return reason("fits nowhere", `no machine type is large enough for a task of ${job.cpus} CPUs`);
   if (job.failures > 1) {
-    const next = job.pauseS > 0 ? `, next try in ${job.pauseS} s` : "";
-    return say("failing", `${job.failures} failures in a row${next}`);
+    const nextTryText = job.pauseS > 0 ? `, next try in ${job.pauseS} s` : "";
+    return reason("failing", `${job.failures} failures in a row${nextTryText}`);
   }
   if (job.behind) {
-    return say("behind a priority", `a higher priority of ${job.team} lacks quota as well`);
+    return reason(
+      "behind a priority",
+      `jobs of ${job.team} with a higher priority lack quota as well`,
+    );
   }
   if (!job.fitsQuota) {
     const left = job.sliceLeft ?? 0;
-    return say(
+    return reason(
       "quota",
-      `${left} CPUs are left of ${job.team}'s slice here, a task takes ${job.cpus}`,
+      `${job.team}'s quota slice in this part has ${left} CPUs left, a task needs ${job.cpus}`,
     );
   }
   if (machines.allowed === 0) {
     if (rental !== null && rental.overdue > 0) {
-      return say("boot overdue", `${rental.overdue} machines have not come up in their time`);
+      return reason("boot overdue", `${rental.overdue} machines have not come up in their time`);
     }
-    if (rental !== null && rental.booting > 0) return say("booting", `${rental.booting} machines`);
-    return say("no machine of the kind", `${machines.usable} of others take tasks here`);
+    if (rental !== null && rental.booting > 0)
+      return reason("booting", `${rental.booting} machines`);
+    return reason(
+      "no machine of the kind",
+      `${machines.usable} machines of other kinds accept tasks here`,
+    );
   }
   if (machines.roomy > 0) {
-    if (job.lent) return say("lent room", "what is free is kept for teams with a guarantee");
+    if (job.lent)
+      return reason("lent room", "the free resources are kept for teams with a guarantee");
     if (part.changesLeft < 0) {
-      return say(
+      return reason(
         "change budget spent",
-        `${-part.changesLeft} changes are owed to the state service`,
+        `the write rate limit is exceeded by ${-part.changesLeft} changes`,
       );
     }
-    return say("about to start", `${machines.roomy} machines have room`);
+    return reason("about to start", `${machines.roomy} machines have free resources for it`);
   }
-  if (job.reserved > 0) return say("reserved", `room is being made on ${job.reserved} machines`);
+  if (job.reserved > 0)
+    return reason("reserved", `tasks are being stopped for it on ${job.reserved} machines`);
   if (rental !== null && rental.overdue > 0) {
-    return say("boot overdue", `${rental.overdue} machines have not come up in their time`);
+    return reason("boot overdue", `${rental.overdue} machines have not come up in their time`);
   }
-  return say("no room", `${machines.allowed} machines may take it, none has ${job.cpus} CPUs free`);
+  return reason(
+    "no room",
+    `${machines.allowed} machines may run it, none has enough free resources for a task of ${job.cpus} CPUs`,
+  );
 }
 
 /**
- * What becomes of a job, from what the controllers say that could be asked. Never wrong, at worst
- * "not known": what only a controller knows that did not answer is said not to be known.
+ * Explains the state of a job from the answers of the controllers that could be queried. It never
+ * guesses: what only a controller knows that did not answer is reported as "not known".
  */
-export function explain(
+export function explainJob(
   id: string,
-  views: readonly View[],
+  views: readonly ControllerView[],
   unanswered: readonly string[],
 ): Obstacle[] {
-  // Who has heard the state service last knows best.
-  const fresh = [...views].sort((a, b) => a.contactS - b.contactS);
-  const best = fresh.find(({ job }) => job !== null);
-  if (best === undefined) {
-    const ready = fresh.some(({ ready, contactS }) => ready && contactS < 5);
+  // Prefer the controller with the most recent contact with the state service.
+  const byContact = [...views].sort((a, b) => a.contactS - b.contactS);
+  const latestWithJob = byContact.find(({ job }) => job !== null);
+  if (latestWithJob === undefined) {
+    const ready = byContact.some(({ ready, contactS }) => ready && contactS < 5);
     if (!ready)
       return [
-        whole("not known", "no controller that was asked has heard the state service lately"),
+        jobObstacle(
+          "not known",
+          "none of the queried controllers has had recent contact with the state service",
+        ),
       ];
     return [
-      whole("unknown job", `no controller knows ${id}: it was never accepted, or was archived`),
+      jobObstacle(
+        "unknown job",
+        `no controller knows ${id}: it was never accepted, or it has been archived`,
+      ),
     ];
   }
-  const { status, parts, tasks } = best.job!;
-  if (status !== "open") return [whole("over", status, tasks)];
+  const { status, parts, tasks } = latestWithJob.job!;
+  if (status !== "open") return [jobObstacle("over", status, tasks)];
   const found: Obstacle[] = [];
   const rental = views.find(({ leads }) => leads)?.rental ?? null;
   for (const part of new Set(parts)) {
     if (part === null) continue;
-    found.push(...inPart(id, part, fresh, best.owners[part] ?? null, unanswered, rental));
+    found.push(
+      ...obstaclesInPart(
+        id,
+        part,
+        byContact,
+        latestWithJob.owners[part] ?? null,
+        unanswered,
+        rental,
+      ),
+    );
   }
   if (found.length === 0)
-    return [whole("running", "all its parts have finished; its end is being written")];
+    return [
+      jobObstacle("running", "all its parts have finished; its final status is being written"),
+    ];
   return found;
 }
 
-function inPart(
+function obstaclesInPart(
   id: string,
   part: number,
-  views: readonly View[],
+  views: readonly ControllerView[],
   owner: string | null,
   unanswered: readonly string[],
-  rental: View["rental"],
+  rental: ControllerView["rental"],
 ): Obstacle[] {
-  const about = (kind: Kind, detail: string, more: Partial<Obstacle> = {}): Obstacle => ({
-    ...whole(kind, detail),
+  const partObstacle = (
+    kind: ObstacleKind,
+    detail: string,
+    more: Partial<Obstacle> = {},
+  ): Obstacle => ({
+    ...jobObstacle(kind, detail),
     part,
     ...more,
   });
-  if (owner === null) return [about("no owner", "nobody has claimed it; the next controller will")];
-  // Two may think that they own it: the higher token is right.
+  if (owner === null)
+    return [
+      partObstacle(
+        "no owner",
+        "no controller has claimed this part; another controller will claim it",
+      ),
+    ];
+  // Two controllers may both believe that they own the part: the higher fencing token is right.
   const candidates = views
     .flatMap((view) => view.parts.filter((one) => one.part === part).map((one) => ({ view, one })))
     .sort((a, b) => b.one.token - a.one.token);
   const [first] = candidates;
   if (first === undefined) {
-    // Only the owner itself can say that it has not read its records yet.
+    // Only the owner itself can tell that it has not loaded its records yet.
     if (views.some(({ node }) => node === owner)) {
-      return [about("restoring", `${owner} has claimed it and is reading its records`)];
+      return [
+        partObstacle("restoring", `${owner} has claimed this part and is loading its records`),
+      ];
     }
     return unanswered.length > 0
-      ? [about("owner silent", `${owner} owns it and has not answered, unless it was not asked`)]
-      : [about("not known", `${owner} owns it and was not asked`)];
+      ? [
+          partObstacle(
+            "owner silent",
+            `${owner} owns this part and did not answer, or was not queried`,
+          ),
+        ]
+      : [partObstacle("not known", `${owner} owns this part and was not queried`)];
   }
-  const { view, one } = first;
+  const { view, one: inspection } = first;
   if (!view.valid) {
-    const why = `${view.node} heard the state service ${view.contactS} s ago`;
-    return [about(view.contactS > 5 ? "cut from the store" : "claim in doubt", why)];
+    const why = `last contact of ${view.node} with the state service was ${view.contactS} s ago`;
+    return [partObstacle(view.contactS > 5 ? "cut from the store" : "claim in doubt", why)];
   }
-  const job = one.jobs.find((known) => known.id === id);
+  const job = inspection.jobs.find((known) => known.id === id);
   if (job === undefined)
-    return [about("being handed on", `${view.node} is reading what came along`)];
+    return [
+      partObstacle("being handed on", `${view.node} is loading the chunk that was handed over`),
+    ];
   const found: Obstacle[] = [];
   if (job.placed > 0 && job.unheardS > 10) {
     found.push(
-      about("machine silent", "its tasks there count until they are proved gone", {
-        tasks: job.placed,
-        sinceS: job.unheardS,
-      }),
+      partObstacle(
+        "machine silent",
+        "its tasks there count as placed until they are proved to be gone",
+        {
+          tasks: job.placed,
+          sinceS: job.unheardS,
+        },
+      ),
     );
   } else if (job.placed > 0) {
     found.push(
-      about("running", `${job.running} of ${job.placed} placed run`, { tasks: job.placed }),
+      partObstacle("running", `${job.running} of ${job.placed} placed tasks are running`, {
+        tasks: job.placed,
+      }),
     );
   }
   if (job.leaving > 0) {
-    found.push(about("being handed on", "to a part with room", { tasks: job.leaving }));
+    found.push(
+      partObstacle("being handed on", "to a part with free resources", { tasks: job.leaving }),
+    );
   }
   if (job.pending > 0) {
-    const { kind, detail } = whyWaiting(job, one, rental);
-    found.push(about(kind, detail, { tasks: job.pending, sinceS: job.waitedS }));
+    const { kind, detail } = waitReason(job, inspection, rental);
+    found.push(partObstacle(kind, detail, { tasks: job.pending, sinceS: job.waitedS }));
   }
   return found;
 }
--- a/src/market/api.ts
+++ b/src/market/api.ts
@@ -5,105 +5,122 @@
 import { Refused } from "../state/store.js";
 import { isMap } from "../wire/cbor.js";
 import { Accounts } from "./accounts.js";
-import type { Book } from "./book.js";
-import { microOf, unitsOf } from "./money.js";
+import type { MarketState } from "./market-state.js";
+import { formatMicro, toMicro } from "./money.js";
 import {
   type Account,
   BID_ID,
   type Bid,
   type Charge,
   isBid,
+  isSameBid,
   keys,
   parseBid,
   type RoundNote,
-  sameBid,
 } from "./records.js";
 import type { MarketSettings } from "./settings.js";
 
-/** Withdrawn bids and those that are over count as well, so that records stay few. */
-const KEPT_FOR_EACH_OPEN = 10;
-/** Answers to users have a limit of 64 KiB (PROTOCOL). */
-const MOST_PAGES = 4;
-const MOST_NOTES = 120;
+/**
+ * Limit on a guest's stored bids, as a multiple of its limit on open bids. Withdrawn and expired
+ * bids count as well, which bounds the number of records.
+ */
+const STORED_BIDS_PER_OPEN_BID = 10;
+/** Responses to users are limited to 64 KiB (PROTOCOL). */
+const MAX_CHARGE_PAGES = 4;
+const MAX_ROUND_NOTES = 120;
 
 export type BidStatus = "open" | "granted" | "withdrawn" | "over";
 
-/** Answers guests and operators: bids, accounts, rounds. Any controller answers any of them. */
+/** HTTP API for guests and operators: bids, accounts, rounds. Every controller serves all of it. */
 export class MarketApi {
-  readonly #rates = new Map<string, RateLimiter>();
+  readonly #rateLimiters = new Map<string, RateLimiter>();
   readonly #accounts: Accounts;
-  /** By guest: bids on their way to the store. */
-  readonly #sent = new Map<string, number>();
+  /** By guest: number of bids being written to the store. */
+  readonly #bidsInFlight = new Map<string, number>();
 
   constructor(
     readonly core: Core,
     readonly settings: MarketSettings,
-    readonly book: Book,
+    readonly marketState: MarketState,
   ) {
     this.#accounts = new Accounts(core);
-    // Every controller takes its part of what a guest may ask, and at least one at a time.
-    const each = settings.bidsAMinute / core.layout.parts;
+    // The rate limit of a guest is divided between the controllers; each admits at least one bid.
+    const bidsPerMinute = settings.bidsPerMinute / core.layout.parts;
     for (const { name } of settings.guests) {
-      this.#rates.set(name, new RateLimiter(each / 60, Math.max(1, each / 6), core.clock));
+      this.#rateLimiters.set(
+        name,
+        new RateLimiter(bidsPerMinute / 60, Math.max(1, bidsPerMinute / 6), core.clock),
+      );
     }
   }
 
   readonly find: Router["find"] = (path) => {
     if (!path.startsWith("/market")) return null;
-    const steps = path.split("/").slice(2);
+    const segments = path.split("/").slice(2);
     const route = (method: Route["method"], run: Route["run"]): ReturnType<Router["find"]> => ({
-      routes: [{ method, run: (input) => this.#safely(() => run(input)) }],
-      params: steps,
+      routes: [{ method, run: (input) => this.#answerOrUnavailable(() => run(input)) }],
+      params: segments,
     });
-    const [kind, guest = "", name = "", verb] = steps;
-    if (kind === undefined && steps.length === 0) return route("GET", () => this.#overview());
-    if (kind === "bids" && steps.length === 1) return route("POST", ({ body }) => this.#bid(body));
-    if (kind === "bids" && steps.length === 3) return route("GET", () => this.#show(guest, name));
-    if (kind === "bids" && steps.length === 4 && verb === "withdraw") {
-      return route("POST", () => this.#withdraw(guest, name));
+    const [kind, guest = "", name = "", verb] = segments;
+    if (kind === undefined && segments.length === 0) return route("GET", () => this.#overview());
+    if (kind === "bids" && segments.length === 1)
+      return route("POST", ({ body }) => this.#submitBid(body));
+    if (kind === "bids" && segments.length === 3)
+      return route("GET", () => this.#showBid(guest, name));
+    if (kind === "bids" && segments.length === 4 && verb === "withdraw") {
+      return route("POST", () => this.#withdrawBid(guest, name));
     }
-    if (kind === "guests" && steps.length === 2) return route("GET", () => this.#account(guest, 0));
-    if (kind === "guests" && steps.length === 3 && /^\d{1,9}$/.test(name)) {
-      return route("GET", () => this.#account(guest, Number(name)));
+    if (kind === "guests" && segments.length === 2)
+      return route("GET", () => this.#showAccount(guest, 0));
+    if (kind === "guests" && segments.length === 3 && /^\d{1,9}$/.test(name)) {
+      return route("GET", () => this.#showAccount(guest, Number(name)));
     }
-    if (kind === "guests" && steps.length === 3 && name === "settle") {
-      return route("POST", ({ body }) => this.#settle(guest, body));
+    if (kind === "guests" && segments.length === 3 && name === "settle") {
+      return route("POST", ({ body }) => this.#recordPayment(guest, body));
     }
-    if (kind === "rounds" && steps.length === 1) return route("GET", () => this.#rounds());
+    if (kind === "rounds" && segments.length === 1) return route("GET", () => this.#listRounds());
     return null;
   };
 
-  async #safely(run: () => Reply | Promise<Reply>): Promise<Reply> {
+  async #answerOrUnavailable(run: () => Reply | Promise<Reply>): Promise<Reply> {
     try {
       return await run();
     } catch (error) {
-      // Nothing is said of what is not known: an unanswered write may still be applied.
+      // The result is not known: a write without an answer may still be applied.
       this.core.log.debug({ why: String(error) }, "store not available");
       return retryLater(503, "state service not available", error instanceof Refused ? 2 : 1);
     }
   }
 
-  /** How long until a guest may bid again, or null when it may now. */
-  #tooFast(guest: string): Reply | null {
-    const rate = this.#rates.get(guest);
-    if (rate === undefined || rate.take(1)) return null;
-    const each = this.settings.bidsAMinute / 60 / this.core.layout.parts;
-    return retryLater(429, `guest ${guest}: too many bids`, Math.ceil(Math.min(30, 1 / each)));
+  /** The 429 reply, with Retry-After, for a guest over its bid rate; null if it may bid now. */
+  #rateLimitReply(guest: string): Reply | null {
+    const rateLimiter = this.#rateLimiters.get(guest);
+    if (rateLimiter === undefined || rateLimiter.take(1)) return null;
+    const bidsPerSecond = this.settings.bidsPerMinute / 60 / this.core.layout.parts;
+    return retryLater(
+      429,
+      `guest ${guest}: bid rate limit exceeded`,
+      Math.ceil(Math.min(30, 1 / bidsPerSecond)),
+    );
   }
 
-  async #bid(body: unknown): Promise<Reply> {
-    const { core, settings, book } = this;
+  async #submitBid(body: unknown): Promise<Reply> {
+    const { core, settings, marketState } = this;
     const parsed = parseBid(body, Math.round(core.clock.wall()));
     if (!parsed.ok) return { status: 400, body: { error: parsed.reason } };
     const wanted = parsed.value;
     const { guest, id } = wanted;
     const name = `${guest}/${id}`;
-    const own = settings.guests.find((one) => one.name === guest);
-    if (own === undefined) return { status: 422, body: { error: `guest: ${guest} is not known` } };
-    const fast = this.#tooFast(guest);
-    if (fast !== null) return fast;
-    const known = book.bids.get(name);
-    if (known !== undefined) return this.#repeated(wanted, known.value);
+    const guestSettings = settings.guests.find((one) => one.name === guest);
+    if (guestSettings === undefined)
+      return {
+        status: 422,
+        body: { error: `guest: ${guest} is not listed in the market settings` },
+      };
+    const limited = this.#rateLimitReply(guest);
+    if (limited !== null) return limited;
+    const known = marketState.bids.get(name);
+    if (known !== undefined) return this.#replyToRepeatedBid(wanted, known.value);
     const types = [...core.types().values()];
     if (types.length === 0) return retryLater(503, "machine types not known yet");
     const { slot, zone } = wanted;
@@ -114,45 +131,54 @@
         slot.memGb <= type.memGb &&
         (zone === null || type.zones.length === 0 || type.zones.includes(zone)),
     );
-    if (!fits) return { status: 422, body: { error: "cores: a slot fits no machine type there" } };
-    if (slot.cpus > own.most.cpus || slot.gpus > own.most.gpus) {
-      return { status: 422, body: { error: "cores: one slot is more than the guest may use" } };
+    if (!fits)
+      return {
+        status: 422,
+        body: { error: "cores: no machine type that the bid allows fits one slot" },
+      };
+    if (slot.cpus > guestSettings.most.cpus || slot.gpus > guestSettings.most.gpus) {
+      return {
+        status: 422,
+        body: { error: "cores: a single slot exceeds what the guest may use" },
+      };
     }
-    const { open, kept } = book.bidsOf(guest);
-    // The other controllers may be sending as many that nobody has seen yet.
-    const sent = this.#sent.get(guest) ?? 0;
-    const most = settings.openBids - sent * core.layout.parts;
-    if (open >= most || kept >= settings.openBids * KEPT_FOR_EACH_OPEN) {
-      return retryLater(429, `guest ${guest}: ${open} bids open, ${kept} kept`, 30);
+    const { open, kept } = marketState.bidsOf(guest);
+    // Each of the other controllers may be writing as many bids that are not visible here yet.
+    const inFlight = this.#bidsInFlight.get(guest) ?? 0;
+    const maxOpen = settings.maxOpenBids - inFlight * core.layout.parts;
+    if (open >= maxOpen || kept >= settings.maxOpenBids * STORED_BIDS_PER_OPEN_BID) {
+      return retryLater(429, `guest ${guest}: too many bids: ${open} open, ${kept} stored`, 30);
     }
-    // Bids come after users' jobs and what the parts' owners write.
+    // Bids have a lower write priority than users' jobs and the writes of part owners.
     if (!core.store.writes.take(1, core.store.writes.burst / 3)) {
-      return retryLater(503, "too busy for bids", 2);
+      return retryLater(503, "write rate limit reached, no bids accepted now", 2);
     }
     const value: Bid = { ...wanted, salt: randomBytes(12).toString("hex") };
     const key = keys.bid(guest, id);
-    this.#sent.set(guest, sent + 1);
+    this.#bidsInFlight.set(guest, inFlight + 1);
     try {
       const result = await core.store.transact([{ key, version: 0 }], [{ put: key, value }]);
       if (result.ok) {
         core.mirror.apply({ key, value, version: result.revision, deleted: false });
-        return { status: 201, body: this.#view(value) };
+        return { status: 201, body: this.#bidBody(value) };
       }
     } finally {
-      this.#sent.set(guest, (this.#sent.get(guest) ?? 1) - 1);
+      this.#bidsInFlight.set(guest, (this.#bidsInFlight.get(guest) ?? 1) - 1);
     }
     const row = await core.store.get(key);
-    return isBid(row?.value) ? this.#repeated(wanted, row.value) : retryLater(503, "try again");
+    return isBid(row?.value)
+      ? this.#replyToRepeatedBid(wanted, row.value)
+      : retryLater(503, "try again");
   }
 
-  #repeated(wanted: Omit<Bid, "salt">, known: Bid): Reply {
-    if (sameBid(wanted, known)) return { status: 200, body: this.#view(known) };
-    return { status: 422, body: { error: `id: ${known.id} is another bid already` } };
+  #replyToRepeatedBid(wanted: Omit<Bid, "salt">, known: Bid): Reply {
+    if (isSameBid(wanted, known)) return { status: 200, body: this.#bidBody(known) };
+    return { status: 422, body: { error: `id: ${known.id} is already used by a different bid` } };
   }
 
-  #view(bid: Bid): object {
+  #bidBody(bid: Bid): object {
     const { id, guest, slot, count, zone, most, from, until, withdrawn } = bid;
-    const grants = this.book.grantsOf(`${guest}/${id}`);
+    const grants = this.marketState.grantsOf(`${guest}/${id}`);
     let status: BidStatus = "open";
     if (withdrawn !== undefined) status = "withdrawn";
     else if (until <= this.core.clock.wall()) status = "over";
@@ -166,14 +192,14 @@
       memGb: slot.memGb,
       slots: count,
       zone,
-      price: unitsOf(most),
+      price: formatMicro(most),
       earliest: from / 1000,
       latest: until / 1000,
       grants: grants.map((grant) => ({
         id: grant.id,
         zone: grant.zone,
         slots: grant.slots,
-        price: unitsOf(grant.micro),
+        price: formatMicro(grant.micro),
         from: grant.from / 1000,
         until: grant.until / 1000,
         cut: grant.cut ?? null,
@@ -181,54 +207,56 @@
     };
   }
 
-  async #show(guest: string, id: string): Promise<Reply> {
-    if (!BID_ID.test(id) || !BID_ID.test(guest)) return this.#noBid();
-    // From the store: a withdrawal told by another controller must not be told back.
+  async #showBid(guest: string, id: string): Promise<Reply> {
+    if (!BID_ID.test(id) || !BID_ID.test(guest)) return this.#bidNotFound();
+    // Read from the store, as this controller's view may lag behind: after another controller has
+    // confirmed a withdrawal, the bid must not be shown as open again.
     const row = await this.core.store.get(keys.bid(guest, id));
-    if (!isBid(row?.value)) return this.#noBid();
-    return { status: 200, body: this.#view(row.value) };
+    if (!isBid(row?.value)) return this.#bidNotFound();
+    return { status: 200, body: this.#bidBody(row.value) };
   }
 
-  #noBid(): Reply {
+  #bidNotFound(): Reply {
     return { status: 404, body: { error: "no such bid" } };
   }
 
   /**
-   * Once this is answered the bid wins nothing any more: what turns a cleared round into grants
-   * depends on the bid's version, which this changes. What it has won already goes on to its end.
+   * Once this is answered the bid wins nothing more: turning a cleared round into grants is
+   * conditional on the bid's version, which this changes. Grants that the bid already has run to
+   * their end.
    */
-  async #withdraw(guest: string, id: string): Promise<Reply> {
+  async #withdrawBid(guest: string, id: string): Promise<Reply> {
     const { store, mirror, clock } = this.core;
-    if (!BID_ID.test(id) || !BID_ID.test(guest)) return this.#noBid();
+    if (!BID_ID.test(id) || !BID_ID.test(guest)) return this.#bidNotFound();
     const key = keys.bid(guest, id);
     for (let attempt = 0; attempt < 4; attempt++) {
       const row = await store.get(key);
-      if (!isBid(row?.value)) return this.#noBid();
+      if (!isBid(row?.value)) return this.#bidNotFound();
       const bid = row.value;
-      if (bid.withdrawn !== undefined) return { status: 200, body: this.#view(bid) };
+      if (bid.withdrawn !== undefined) return { status: 200, body: this.#bidBody(bid) };
       store.writes.force(1);
       const value: Bid = { ...bid, withdrawn: Math.round(clock.wall()) };
       const result = await store.transact([{ key, version: row.version }], [{ put: key, value }]);
       if (!result.ok) continue;
       mirror.apply({ key, value, version: result.revision, deleted: false });
-      return { status: 200, body: this.#view(value) };
+      return { status: 200, body: this.#bidBody(value) };
     }
     return retryLater(503, "try again");
   }
 
-  async #account(guest: string, first: number): Promise<Reply> {
+  async #showAccount(guest: string, first: number): Promise<Reply> {
     if (!this.settings.guests.some(({ name }) => name === guest)) {
       return { status: 404, body: { error: "no such guest" } };
     }
-    this.#accounts.forget(guest);
+    this.#accounts.invalidate(guest);
     const { account } = await this.#accounts.read(guest);
-    const pages = await this.#accounts.charges(guest, first, MOST_PAGES);
+    const pages = await this.#accounts.readPages(guest, first, MAX_CHARGE_PAGES);
     const from = Math.max(first, account.first);
     const next = from + pages.length;
     return { status: 200, body: accountBody(guest, account, pages.flat(), next) };
   }
 
-  async #settle(guest: string, body: unknown): Promise<Reply> {
+  async #recordPayment(guest: string, body: unknown): Promise<Reply> {
     if (!this.settings.guests.some(({ name }) => name === guest)) {
       return { status: 404, body: { error: "no such guest" } };
     }
@@ -236,44 +264,44 @@
     if (typeof id !== "string" || !BID_ID.test(id)) {
       return { status: 400, body: { error: "id: 1 to 60 of A-Z, a-z, 0-9, _ . and -" } };
     }
-    const micro = typeof amount === "number" ? microOf(amount) : null;
+    const micro = typeof amount === "number" ? toMicro(amount) : null;
     if (micro === null || micro === 0) {
-      return { status: 400, body: { error: "amount: above 0, with at most six decimals" } };
+      return { status: 400, body: { error: "amount: must be above 0, with at most six decimals" } };
     }
-    const account = await this.#accounts.settle(guest, id, micro);
+    const account = await this.#accounts.recordPayment(guest, id, micro);
     if (account === null) return retryLater(503, "try again");
     return { status: 200, body: accountBody(guest, account, [], account.last + 1) };
   }
 
   #overview(): Reply {
-    const { everyMs, termMs, saveMs, leastMicro, guests } = this.settings;
+    const { roundIntervalMs, maxGrantMs, saveMs, minPriceMicro, guests } = this.settings;
     const now = this.core.clock.wall();
     return {
       status: 200,
       body: {
-        everyS: everyMs / 1000,
-        termS: termMs / 1000,
+        everyS: roundIntervalMs / 1000,
+        termS: maxGrantMs / 1000,
         saveS: saveMs / 1000,
-        leastPrice: unitsOf(leastMicro),
-        next: (Math.floor(now / everyMs) * everyMs + everyMs) / 1000,
+        leastPrice: formatMicro(minPriceMicro),
+        next: (Math.floor(now / roundIntervalMs) * roundIntervalMs + roundIntervalMs) / 1000,
         guests: guests.map(({ name }) => {
-          const live = [...this.book.grants.values()].filter(
+          const live = [...this.marketState.grants.values()].filter(
             ({ value }) => value.guest === name && value.until > now,
           );
           const slots = live.reduce((sum, { value }) => sum + value.slots, 0);
-          return { name, bids: this.book.bidsOf(name).open, grants: live.length, slots };
+          return { name, bids: this.marketState.bidsOf(name).open, grants: live.length, slots };
         }),
       },
     };
   }
 
-  async #rounds(): Promise<Reply> {
+  async #listRounds(): Promise<Reply> {
     const { rows } = await this.core.store.list(keys.notes);
     const notes = rows
       .map(({ value }) => value as RoundNote)
       .filter((note) => typeof note?.instant === "number")
       .sort((a, b) => a.instant - b.instant)
-      .slice(-MOST_NOTES);
+      .slice(-MAX_ROUND_NOTES);
     return { status: 200, body: { rounds: notes } };
   }
 }
@@ -282,18 +310,18 @@
   const { owed, charged, settled, slotMs, grants, last, folded } = account;
   return {
     guest,
-    owed: unitsOf(owed),
-    charged: unitsOf(charged),
-    settled: unitsOf(settled),
+    owed: formatMicro(owed),
+    charged: formatMicro(charged),
+    settled: formatMicro(settled),
     slotMs,
     grants,
-    folded: { ...folded, micro: unitsOf(folded.micro) },
+    folded: { ...folded, micro: formatMicro(folded.micro) },
     charges: charges.map((charge) => ({
       ...charge,
-      price: unitsOf(charge.price),
-      amount: unitsOf(charge.micro),
+      price: formatMicro(charge.price),
+      amount: formatMicro(charge.micro),
     })),
-    /** Where to go on, or null. */
+    /** The first page that is not in this response; null if there is none. */
     next: next <= last ? next : null,
   };
 }
--- a/src/market/clearing.ts
+++ b/src/market/clearing.ts
@@ -1,19 +1,19 @@
-import { draw, type Ticket } from "./draw.js";
 import { compareRatios, costOf } from "./money.js";
 import type { Slot } from "./records.js";
+import { type DrawEntry, tieBreakOrder } from "./tie-break.js";
 
-/** A bid as far as clearing needs it. */
-export interface Asking extends Ticket {
+/** The fields of a bid that clearing needs. */
+export interface Asking extends DrawEntry {
   guest: string;
   slot: Slot;
-  /** Slots that it has not got yet. */
+  /** Slots requested and not granted yet. */
   want: number;
   zone: string | null;
-  /** For a slot and an hour, micro-units. */
+  /** The bid's maximum price of a slot-hour, micro-units. */
   most: number;
 }
 
-/** Free room of machines that are alike, in one part. */
+/** Free resources of each of `count` machines that have the same ones free, in one part. */
 export interface SpareRoom extends Slot {
   zone: string;
   part: number;
@@ -22,56 +22,56 @@
 
 export interface ClearingInput {
   instant: number;
-  /** How long the grants last, milliseconds. */
+  /** The longest that grants last, milliseconds. */
   lengthMs: number;
   bids: readonly Asking[];
   rooms: readonly SpareRoom[];
   /** By zone, the CPUs that may be sold. */
   sellable: ReadonlyMap<string, number>;
-  /** By guest: what it may still use, and still owe in micro-units. */
+  /** By guest: resources that it may still use, and how much more it may owe, micro-units. */
   guests: ReadonlyMap<string, { cpus: number; gpus: number; credit: number }>;
-  /** What a core is worth of other things: how many cores of a machine go with a GB, a GPU. */
+  /** How many cores a GPU and a GB of memory count as: the cores that machines have for each. */
   worth: { gpus: number; memGb: number };
-  /** The least for a core-hour, micro-units. */
+  /** The minimum price of a core-hour, micro-units. */
   leastMicro: number;
-  /** No more bids can win in one round: what it decides has to fit the store. */
+  /** Limit on winning bids: the record of a cleared round must fit the store's value size. */
   mostWinners: number;
 }
 
-export interface Sold {
+export interface SoldSlots {
   bid: string;
   guest: string;
   slot: Slot;
   zone: string;
   part: number;
   slots: number;
-  /** For a slot and an hour, micro-units. */
+  /** Price of a slot-hour, micro-units. */
   micro: number;
 }
 
 export interface ClearingResult {
-  sold: Sold[];
-  /** Of a core-hour, micro-units, as a fraction; null when nothing is sold. */
+  sold: SoldSlots[];
+  /** Price of a core-hour as a fraction, micro-units; null when nothing is sold. */
   price: [number, number] | null;
-  /** Bids that wanted more and found no room for it, and those that were below the price. */
+  /** Bids that did not get all their slots for lack of capacity, and bids below the minimum price. */
   lost: string[];
-  /** Those at the price of the last winner, when some of them lost: what the draw was between. */
-  tied: Ticket[];
+  /** Bids at the price of the last winner, if some of them lost: the entries of the tie-break draw. */
+  tied: DrawEntry[];
 }
 
-/** Thousandths of the cores that a slot takes of a machine, by what it takes most of. */
-export function sizeOf(slot: Slot, worth: { gpus: number; memGb: number }): number {
+/** Size of a slot in thousandths of a core, by the resource of which it takes the largest share. */
+export function slotSize(slot: Slot, worth: { gpus: number; memGb: number }): number {
   const cores = Math.max(slot.cpus, slot.gpus * worth.gpus, slot.memGb * worth.memGb);
   return Math.max(1, Math.ceil(cores * 1000 - 1e-6));
 }
 
-interface Ranked {
+interface RankedBid {
   bid: Asking;
   size: number;
 }
 
-/** One class of machines with the same free room; machines leave it for another as they fill. */
-interface Class extends Slot {
+/** Machines with equal free resources. A machine moves to another class when a slot is placed on it. */
+interface CapacityClass extends Slot {
   key: string;
   zone: string;
   part: number;
@@ -83,19 +83,19 @@
   slot.cpus <= room.cpus + EPSILON &&
   slot.gpus <= room.gpus + EPSILON &&
   slot.memGb <= room.memGb + EPSILON;
-const shapeOf = ({ cpus, gpus, memGb }: Slot): string => `${cpus}/${gpus}/${memGb}`;
+const shapeKey = ({ cpus, gpus, memGb }: Slot): string => `${cpus}/${gpus}/${memGb}`;
 
-/** The rooms of one zone, with slots put into them. */
-class Rooms {
-  readonly #classes = new Map<string, Class>();
-  /** By shape, where the last one went: looking at all classes for each slot took most of the time. */
-  readonly #last = new Map<string, Class>();
+/** Free capacity of one zone, from which slots are taken. */
+class ZoneCapacity {
+  readonly #classes = new Map<string, CapacityClass>();
+  /** By shape, the class that took the last slot: searching all classes per slot took most of the time. */
+  readonly #lastUsedByShape = new Map<string, CapacityClass>();
 
   constructor(rooms: readonly SpareRoom[], zone: string) {
     for (const room of rooms) if (room.zone === zone) this.#add(room, room.count);
   }
 
-  #add({ zone, part, cpus, gpus, memGb }: Omit<SpareRoom, "count">, count: number): Class {
+  #add({ zone, part, cpus, gpus, memGb }: Omit<SpareRoom, "count">, count: number): CapacityClass {
     const key = `${part}/${cpus.toFixed(3)}/${gpus.toFixed(3)}/${memGb.toFixed(3)}`;
     let known = this.#classes.get(key);
     if (known === undefined) {
@@ -106,11 +106,14 @@
     return known;
   }
 
-  /** The machine that took the last one like it, then the fullest that holds it: leaves others whole. */
-  find(slot: Slot): Class | null {
-    const last = this.#last.get(shapeOf(slot));
+  /**
+   * The class for a slot: that of the machine that took the last slot of this shape, else the one
+   * with the fewest free CPUs that fits it (best fit), so that other machines stay empty.
+   */
+  find(slot: Slot): CapacityClass | null {
+    const last = this.#lastUsedByShape.get(shapeKey(slot));
     if (last !== undefined && last.count > 0 && fits(slot, last)) return last;
-    let best: Class | null = null;
+    let best: CapacityClass | null = null;
     for (const one of this.#classes.values()) {
       if (!fits(slot, one)) continue;
       if (
@@ -122,11 +125,11 @@
         best = one;
       }
     }
-    if (best !== null) this.#last.set(shapeOf(slot), best);
+    if (best !== null) this.#lastUsedByShape.set(shapeKey(slot), best);
     return best;
   }
 
-  take(room: Class, slot: Slot): void {
+  take(room: CapacityClass, slot: Slot): void {
     const { zone, part, cpus, gpus, memGb } = room;
     if (--room.count === 0) this.#classes.delete(room.key);
     const rest = {
@@ -136,131 +139,141 @@
       gpus: gpus - slot.gpus,
       memGb: memGb - slot.memGb,
     };
-    this.#last.set(shapeOf(slot), this.#add(rest, 1));
+    this.#lastUsedByShape.set(shapeKey(slot), this.#add(rest, 1));
   }
 }
 
-/** By price of a core, the highest first; the draw decides among equal ones. */
-function rank({ bids, worth, instant }: ClearingInput): Ranked[] {
+/** Sorts bids by price per core, highest first; a tie-break draw orders equal ones. */
+function rankBids({ bids, worth, instant }: ClearingInput): RankedBid[] {
   const ranked = bids
-    .map((bid) => ({ bid, size: sizeOf(bid.slot, worth) }))
+    .map((bid) => ({ bid, size: slotSize(bid.slot, worth) }))
     .sort(
       (a, b) =>
         -compareRatios(a.bid.most, a.size, b.bid.most, b.size) || (a.bid.bid < b.bid.bid ? -1 : 1),
     );
   for (let from = 0; from < ranked.length; ) {
     let to = from + 1;
-    while (to < ranked.length && samePrice(ranked[from]!, ranked[to]!)) to++;
+    while (to < ranked.length && hasSamePrice(ranked[from]!, ranked[to]!)) to++;
     if (to - from > 1) {
-      const group = new Map(ranked.slice(from, to).map((one) => [one.bid.bid, one]));
-      const order = draw(
+      const tiedBids = new Map(ranked.slice(from, to).map((one) => [one.bid.bid, one]));
+      const order = tieBreakOrder(
         instant,
-        [...group.values()].map(({ bid }) => bid),
+        [...tiedBids.values()].map(({ bid }) => bid),
       );
-      ranked.splice(from, to - from, ...order.map((name) => group.get(name)!));
+      ranked.splice(from, to - from, ...order.map((name) => tiedBids.get(name)!));
     }
     from = to;
   }
   return ranked;
 }
 
-const samePrice = (a: Ranked, b: Ranked): boolean =>
+const hasSamePrice = (a: RankedBid, b: RankedBid): boolean =>
   compareRatios(a.bid.most, a.size, b.bid.most, b.size) === 0;
 
-interface Placed {
-  ranked: Ranked;
+interface PlacedSlot {
+  ranked: RankedBid;
   zone: string;
   part: number;
 }
 
 /**
- * Who gets what, and at what price. A pure function: the same for every order of the bids.
+ * Clears a round: determines the winners and the price. A pure function whose result does not
+ * depend on the order of the bids.
  *
- * Bids are taken by what they pay for a core-hour, each for as many slots as there is room, money
- * and allowance for. The price of a core-hour is uniform: that of the highest bid that found no
- * room, or of the last winner if that is less, and at least the operator's. A slot costs that times
- * its size, rounded down. Bids for any zone go where least is granted, and are moved afterwards so
- * that no zone holds more than half of the slots, rounded up, as long as another has room.
+ * Bids are served in order of their price per core-hour. Each gets as many slots as the free
+ * capacity, the guest's credit and the guest's limit allow. The price of a core-hour is uniform: that
+ * of the highest bid that lacked capacity, or of the last winner if that is lower, and at least the
+ * operator's minimum. A slot costs that price times its size, rounded down. A bid without a zone is
+ * placed in the zone with the fewest granted slots. Slots are moved afterwards so that no zone holds
+ * more than half of them, rounded up, as long as another zone has capacity.
  */
 export function clear(input: ClearingInput): ClearingResult {
   const { rooms, guests, lengthMs, leastMicro } = input;
   const zones = [...new Set(rooms.map(({ zone }) => zone))].sort();
-  const room = new Map(zones.map((zone) => [zone, new Rooms(rooms, zone)]));
-  const left = new Map(zones.map((zone) => [zone, input.sellable.get(zone) ?? 0]));
+  const free = new Map(zones.map((zone) => [zone, new ZoneCapacity(rooms, zone)]));
+  const unsold = new Map(zones.map((zone) => [zone, input.sellable.get(zone) ?? 0]));
   const granted = new Map(zones.map((zone) => [zone, 0]));
-  const budget = new Map([...guests].map(([name, own]) => [name, { ...own }]));
-  const floor: [number, number] = [leastMicro, 1000];
-  const placed: Placed[] = [];
+  const budgets = new Map([...guests].map(([name, own]) => [name, { ...own }]));
+  const minPrice: [number, number] = [leastMicro, 1000];
+  const placed: PlacedSlot[] = [];
   const winners = new Set<string>();
   const lost: string[] = [];
-  const noRoom = new Set<string>();
-  let worst: Ranked | null = null;
-  let highestLost: Ranked | null = null;
-  const ranking = rank(input);
+  const shapesWithoutCapacity = new Set<string>();
+  let lastWinner: RankedBid | null = null;
+  let highestLoser: RankedBid | null = null;
+  const ranking = rankBids(input);
 
   for (const ranked of ranking) {
     const { bid, size } = ranked;
-    if (compareRatios(bid.most, size, floor[0], floor[1]) < 0) {
+    if (compareRatios(bid.most, size, minPrice[0], minPrice[1]) < 0) {
       lost.push(bid.bid);
       continue;
     }
-    const own = budget.get(bid.guest);
-    if (own === undefined) continue;
+    const guestBudget = budgets.get(bid.guest);
+    if (guestBudget === undefined) continue;
     const { slot } = bid;
-    const shape = `${shapeOf(slot)}/${bid.zone ?? ""}`;
-    const most = costOf(bid.most, 1, lengthMs).micro + 1;
-    let full = noRoom.has(shape) || (winners.size >= input.mostWinners && bid.want > 0);
-    for (let n = 0; n < bid.want && !full; n++) {
-      // What it has offered is what it may come to owe.
-      if (slot.cpus > own.cpus + EPSILON || slot.gpus > own.gpus + EPSILON || most > own.credit)
+    const shape = `${shapeKey(slot)}/${bid.zone ?? ""}`;
+    const maxCost = costOf(bid.most, 1, lengthMs).micro + 1;
+    let lacksCapacity =
+      shapesWithoutCapacity.has(shape) || (winners.size >= input.mostWinners && bid.want > 0);
+    for (let n = 0; n < bid.want && !lacksCapacity; n++) {
+      // Credit is checked with the bid's own maximum, as the price is not known yet.
+      if (
+        slot.cpus > guestBudget.cpus + EPSILON ||
+        slot.gpus > guestBudget.gpus + EPSILON ||
+        maxCost > guestBudget.credit
+      )
         break;
-      const zone = roomiest(zones, granted, (name) => {
+      const zone = zoneWithFewestSlots(zones, granted, (name) => {
         if (bid.zone !== null && bid.zone !== name) return false;
-        return left.get(name)! + EPSILON >= size / 1000 && room.get(name)!.find(slot) !== null;
+        return unsold.get(name)! + EPSILON >= size / 1000 && free.get(name)!.find(slot) !== null;
       });
       if (zone === null) {
-        noRoom.add(shape);
-        full = true;
+        shapesWithoutCapacity.add(shape);
+        lacksCapacity = true;
         break;
       }
-      const host = room.get(zone)!.find(slot)!;
-      room.get(zone)!.take(host, slot);
-      left.set(zone, left.get(zone)! - size / 1000);
+      const machines = free.get(zone)!.find(slot)!;
+      free.get(zone)!.take(machines, slot);
+      unsold.set(zone, unsold.get(zone)! - size / 1000);
       granted.set(zone, granted.get(zone)! + 1);
-      own.cpus -= slot.cpus;
-      own.gpus -= slot.gpus;
-      own.credit -= most;
-      placed.push({ ranked, zone, part: host.part });
+      guestBudget.cpus -= slot.cpus;
+      guestBudget.gpus -= slot.gpus;
+      guestBudget.credit -= maxCost;
+      placed.push({ ranked, zone, part: machines.part });
       winners.add(bid.bid);
-      worst = ranked;
+      lastWinner = ranked;
     }
-    if (full) {
+    if (lacksCapacity) {
       lost.push(bid.bid);
-      highestLost ??= ranked;
+      highestLoser ??= ranked;
     }
   }
-  spread(placed, zones, granted, left, room);
+  balanceZones(placed, zones, granted, unsold, free);
 
   let price: [number, number] | null = null;
-  if (worst !== null) {
-    price = [worst.bid.most, worst.size];
-    const second: [number, number] =
-      highestLost === null ? floor : [highestLost.bid.most, highestLost.size];
-    if (compareRatios(second[0], second[1], price[0], price[1]) < 0) price = second;
-    if (compareRatios(price[0], price[1], floor[0], floor[1]) < 0) price = floor;
+  if (lastWinner !== null) {
+    price = [lastWinner.bid.most, lastWinner.size];
+    const highestLosingPrice: [number, number] =
+      highestLoser === null ? minPrice : [highestLoser.bid.most, highestLoser.size];
+    if (compareRatios(highestLosingPrice[0], highestLosingPrice[1], price[0], price[1]) < 0)
+      price = highestLosingPrice;
+    if (compareRatios(price[0], price[1], minPrice[0], minPrice[1]) < 0) price = minPrice;
   }
   const tied =
-    worst === null ? [] : ranking.filter((one) => samePrice(one, worst)).map(({ bid }) => bid);
-  const some = tied.some(({ bid }) => lost.includes(bid));
+    lastWinner === null
+      ? []
+      : ranking.filter((one) => hasSamePrice(one, lastWinner)).map(({ bid }) => bid);
+  const someTiedLost = tied.some(({ bid }) => lost.includes(bid));
   return {
-    sold: merged(placed, price),
+    sold: mergeSlots(placed, price),
     price,
     lost,
-    tied: some ? tied.map(({ bid, stamp, salt }) => ({ bid, stamp, salt })) : [],
+    tied: someTiedLost ? tied.map(({ bid, stamp, salt }) => ({ bid, stamp, salt })) : [],
   };
 }
 
-function roomiest(
+function zoneWithFewestSlots(
   zones: readonly string[],
   granted: ReadonlyMap<string, number>,
   usable: (zone: string) => boolean,
@@ -273,13 +286,13 @@
   return best;
 }
 
-/** Moves slots that may be anywhere out of a zone with more than half of them. */
-function spread(
-  placed: Placed[],
+/** Moves slots of bids without a zone out of a zone that holds more than half of all slots. */
+function balanceZones(
+  placed: PlacedSlot[],
   zones: readonly string[],
   granted: Map<string, number>,
-  left: Map<string, number>,
-  room: ReadonlyMap<string, Rooms>,
+  unsold: Map<string, number>,
+  free: ReadonlyMap<string, ZoneCapacity>,
 ): void {
   const half = Math.ceil(placed.length / 2);
   for (const from of zones) {
@@ -288,25 +301,25 @@
       if (one.zone !== from || one.ranked.bid.zone !== null) continue;
       const { slot } = one.ranked.bid;
       const cores = one.ranked.size / 1000;
-      const to = roomiest(zones, granted, (name) => {
+      const to = zoneWithFewestSlots(zones, granted, (name) => {
         if (name === from || granted.get(name)! >= half) return false;
-        return left.get(name)! + EPSILON >= cores && room.get(name)!.find(slot) !== null;
+        return unsold.get(name)! + EPSILON >= cores && free.get(name)!.find(slot) !== null;
       });
       if (to === null) continue;
-      const host = room.get(to)!.find(slot)!;
-      room.get(to)!.take(host, slot);
-      left.set(to, left.get(to)! - cores);
-      left.set(from, left.get(from)! + cores);
+      const machines = free.get(to)!.find(slot)!;
+      free.get(to)!.take(machines, slot);
+      unsold.set(to, unsold.get(to)! - cores);
+      unsold.set(from, unsold.get(from)! + cores);
       granted.set(from, granted.get(from)! - 1);
       granted.set(to, granted.get(to)! + 1);
       one.zone = to;
-      one.part = host.part;
+      one.part = machines.part;
     }
   }
 }
 
-function merged(placed: readonly Placed[], price: [number, number] | null): Sold[] {
-  const sold = new Map<string, Sold>();
+function mergeSlots(placed: readonly PlacedSlot[], price: [number, number] | null): SoldSlots[] {
+  const sold = new Map<string, SoldSlots>();
   for (const { ranked, zone, part } of placed) {
     const { bid, guest, slot } = ranked.bid;
     const key = `${bid}/${part}`;
--- a/src/market/client.ts
+++ b/src/market/client.ts
@@ -43,7 +43,7 @@
   rounds: RoundNote[];
 }
 
-/** What guests and operators do with the market of a controller. */
+/** Client of a controller's market API, for guests and operators. */
 export class MarketClient extends RequestClient {
   bid(body: unknown): Promise<BidView> {
     return this.#ask("POST", "/market/bids", body);
@@ -57,7 +57,7 @@
     return this.#ask("POST", `${path("bids", guest, id)}/withdraw`);
   }
 
-  /** All charges that are kept, page by page. */
+  /** The account with all stored charges; reads page by page. */
   async account(guest: string): Promise<AccountView> {
     const account = await this.#ask<AccountView>("GET", path("guests", guest));
     for (let { next } = account; next !== null; ) {
@@ -68,7 +68,7 @@
     return account;
   }
 
-  /** Notes a payment; `id` makes it count once. */
+  /** Records a payment; repeated calls with the same `id` count once. */
   settle(guest: string, id: string, amount: number): Promise<AccountView> {
     return this.#ask("POST", `${path("guests", guest)}/settle`, { id, amount });
   }
--- a/src/market/commands.ts
+++ b/src/market/commands.ts
@@ -2,7 +2,7 @@
 import { Command } from "commander";
 import { RequestRefused } from "../client/client.js";
 import { type AccountView, type BidView, MarketClient } from "./client.js";
-import { unitsOf } from "./money.js";
+import { formatMicro } from "./money.js";
 
 interface Options {
   node: string;
@@ -21,7 +21,7 @@
   write(`${bid.guest}/${bid.id}  ${bid.status}  ${bid.slots} slots at ${bid.price} at most`);
   for (const { id, zone, slots, price, until, cut } of bid.grants) {
     const why = cut === null ? "" : `, cut short: ${cut}`;
-    write(`  ${id}  ${slots} in ${zone} at ${price}, until ${iso(until)}${why}`);
+    write(`  ${id}  ${slots} in ${zone} at ${price}, until ${isoTime(until)}${why}`);
   }
 }
 
@@ -35,12 +35,12 @@
   for (const { grant, zone, slots, from, slotMs, micro, cut } of charges) {
     const why = cut === null ? "" : `  ${cut}`;
     write(
-      `  ${grant}  ${iso(from / 1000)}  ${zone}  ${slots}  ${slotMs} slot-ms  ${unitsOf(micro)}${why}`,
+      `  ${grant}  ${isoTime(from / 1000)}  ${zone}  ${slots}  ${slotMs} slot-ms  ${formatMicro(micro)}${why}`,
     );
   }
 }
 
-const iso = (seconds: number): string => new Date(seconds * 1000).toISOString().slice(0, 19);
+const isoTime = (seconds: number): string => new Date(seconds * 1000).toISOString().slice(0, 19);
 
 function readBid(file: string): unknown {
   const text = readFileSync(file === "-" ? 0 : file, "utf8");
@@ -51,16 +51,16 @@
   }
 }
 
-/** `birchdale market ...`: what guests and operators do from the command line. */
+/** `birchdale market ...`: command-line interface for guests and operators. */
 export function marketCommands(program: Command): Command {
   const market = new Command("market")
     .copyInheritedSettings(program)
-    .description("bid for idle machines, see accounts, report");
+    .description("bid for idle machines, show accounts, write reports");
   const command = (name: string, description: string): Command =>
     market
       .command(name)
       .description(description)
-      .requiredOption("--node <host:port>", "a controller")
+      .requiredOption("--node <host:port>", "address of a controller")
       .option("--json", "print JSON");
   const ask = async <T>(
     { node }: Options,
@@ -88,13 +88,13 @@
     .action(async (guest: string, id: string, options: Options) =>
       showBid(await ask(options, (client) => client.show(guest, id)), options.json),
     );
-  command("withdraw", "withdraw a bid; what it has won goes on to its end")
+  command("withdraw", "withdraw a bid; grants that it has won run to their end")
     .argument("<guest>")
     .argument("<id>")
     .action(async (guest: string, id: string, options: Options) =>
       showBid(await ask(options, (client) => client.withdraw(guest, id)), options.json),
     );
-  command("status", "show the market: rounds, guests, what they hold").action(
+  command("status", "show the market: rounds, guests and their grants").action(
     async (options: Options) => {
       const status = await ask(options, (client) => client.overview());
       write(JSON.stringify(status, null, options.json === true ? 0 : 2));
@@ -105,7 +105,7 @@
     .action(async (guest: string, options: Options) =>
       showAccount(await ask(options, (client) => client.account(guest)), options.json),
     );
-  command("settle", "note a payment of a guest; a repeated one with the same id counts once")
+  command("settle", "record a payment of a guest; repeating it with the same id counts once")
     .argument("<guest>")
     .argument("<id>")
     .argument("<amount>")
@@ -118,7 +118,7 @@
   command("report", "write a report as one HTML file")
     .argument("<file>")
     .action(async (file: string, options: Options) => {
-      // Loaded for this command only: a plotting library is large.
+      // Loaded on demand: the plotting library is large.
       const { reportHtml } = await import("./report.js");
       const html = await ask(options, async (client) => {
         const { rounds } = await client.rounds();
--- a/src/market/index.ts
+++ b/src/market/index.ts
@@ -1,7 +1,7 @@
 /**
- * A market for spare capacity: guests bid for idle machines, the platform's own teams never wait
- * for them. Switched on by the message `market` in the operators' settings
- * (`deploy/market.textproto`); `docs/market.md` says how it works and why its rules hold.
+ * A market for spare capacity: guests bid for idle machines without ever delaying the platform's own
+ * teams. Enabled by the message `market` in the operators' settings (`deploy/market.textproto`);
+ * `docs/market.md` describes how it works and why its rules hold.
  */
 import {
   type Attachment,
@@ -11,8 +11,8 @@
 } from "../extension/index.js";
 import type { PackageDoor } from "../settings/door.js";
 import { MarketApi } from "./api.js";
-import { Book } from "./book.js";
 import { MarketLeader } from "./leader.js";
+import { MarketState } from "./market-state.js";
 import { isAccount, isBid, isGrant, isRound } from "./records.js";
 import { type MarketSettings, readSettings, schema } from "./settings.js";
 
@@ -22,22 +22,22 @@
   type ClearingInput,
   type ClearingResult,
   clear,
-  type Sold,
+  type SoldSlots,
   type SpareRoom,
 } from "./clearing.js";
 export { type AccountView, type BidView, MarketClient, type RoundsView } from "./client.js";
 export { marketCommands } from "./commands.js";
-export { draw, type Ticket } from "./draw.js";
-export { Demand } from "./forecast.js";
+export { DemandForecast } from "./demand-forecast.js";
 export type { Bid, Charge, Grant, Slot } from "./records.js";
 export type { MarketSettings } from "./settings.js";
+export { type DrawEntry, tieBreakOrder } from "./tie-break.js";
 
-/** Reports need a plotting library, which nothing else does. */
+/** Loaded on demand: only reports need the plotting library. */
 export const loadReport = (): Promise<typeof import("./report.js")> => import("./report.js");
 
 const NAME = "market";
 
-class Market implements Extension {
+class MarketExtension implements Extension {
   readonly name = NAME;
 
   constructor(readonly settings: MarketSettings) {}
@@ -52,23 +52,27 @@
       .add(/^w\/m\/g\//, isGrant)
       .add(/^w\/m\/round$/, isRound)
       .add(/^m\/a\//, isAccount);
-    const book = new Book(core, this.settings);
-    const api = new MarketApi(core, this.settings, book);
+    const marketState = new MarketState(core, this.settings);
+    const api = new MarketApi(core, this.settings, marketState);
     return {
       find: api.find,
-      policy: book,
-      lead: (leading) => new MarketLeader(core, this.settings, book, leading),
-      // A controller without the market does not know the guests' teams: it would neither start their
-      // tasks nor end them.
+      policy: marketState,
+      lead: (term) => new MarketLeader(core, this.settings, marketState, term),
+      // A controller without the market does not know the guests' teams: it would neither start nor
+      // stop their tasks.
       refusalReason: ({ team }) => {
-        const [stranger] = book.preemptible(team) ? controllersWithoutPackage(NAME, core) : [];
-        return stranger === undefined ? null : `${stranger} has no market`;
+        const [withoutMarket] = marketState.preemptible(team)
+          ? controllersWithoutPackage(NAME, core)
+          : [];
+        return withoutMarket === undefined
+          ? null
+          : `controller ${withoutMarket} has not enabled the market`;
       },
       status: () => ({
         market: {
-          bids: book.bids.size,
-          grants: book.grants.size,
-          round: book.round?.value.instant ?? null,
+          bids: marketState.bids.size,
+          grants: marketState.grants.size,
+          round: marketState.round?.value.instant ?? null,
         },
       }),
     };
@@ -79,7 +83,7 @@
   schema,
   open: (raw, settings, refuse) => {
     const { workers, zones } = settings.params;
-    return new Market(
+    return new MarketExtension(
       readSettings(raw, { reportS: workers.report_s, leaseS: workers.lease_s, zones }, refuse),
     );
   },
--- a/src/market/leader.ts
+++ b/src/market/leader.ts
@@ -1,54 +1,54 @@
 import { sleep } from "../clock.js";
 import type { Core, LeaderTerm } from "../extension/index.js";
 import { Refused } from "../state/store.js";
-import type { Book } from "./book.js";
 import { Calendar } from "./calendar.js";
-import { Desk } from "./desk.js";
-import { Demand } from "./forecast.js";
-import { Giving } from "./giving.js";
+import { planZone, unusedGrantedCpus, type ZonePlan } from "./capacity-plan.js";
+import { DemandForecast } from "./demand-forecast.js";
+import { GrantTermination } from "./grant-termination.js";
+import { LeaderContext } from "./leader-context.js";
+import type { MarketState } from "./market-state.js";
 import { keys } from "./records.js";
-import { planZone, unusedOf, type ZonePlan } from "./reserve.js";
 import { Rounds } from "./rounds.js";
 import type { MarketSettings } from "./settings.js";
-import { type Cluster, clusterOf } from "./zones.js";
+import { type ClusterCapacity, clusterCapacityOf } from "./zones.js";
 
-/** How often the leader looks, as a part of the workers' report interval. */
-const LOOKS = 2;
-/** Recorded demand is written this seldom: losing some of it costs little. */
-const SAVE_EVERY_MS = 300_000;
+/** Steps of the market leader in one report interval of the workers. */
+const STEPS_PER_REPORT = 2;
+/** Recorded demand is saved rarely: losing a few minutes of it costs little. */
+const DEMAND_SAVE_INTERVAL_MS = 300_000;
 
 /**
- * What the leader does for the market, one step after another: samples the own teams' demand, gives
- * back what they need, ends grants with their charges, and clears rounds at their instants. Every
- * write depends on the leader's claim and on what it was decided from.
+ * The leader's periodic work for the market, one step after another: samples the own teams' demand,
+ * reclaims what they need, ends grants and charges for them, and clears rounds at their instants.
+ * Every write is conditional on the leader's claim and on the records it was decided from.
  */
 export class MarketLeader {
-  readonly #desk: Desk;
-  readonly #giving: Giving;
+  readonly #context: LeaderContext;
+  readonly #grantTermination: GrantTermination;
   readonly #rounds: Rounds;
-  readonly #demand: Demand;
+  readonly #demand: DemandForecast;
   readonly #calendar: Calendar;
   readonly #guests: ReadonlySet<string>;
   #stopped = false;
   #loaded = false;
-  #reachable = true;
-  #savedAt: number;
+  #storeReachable = true;
+  #demandSavedAt: number;
 
   constructor(
     readonly core: Core,
     readonly settings: MarketSettings,
-    readonly book: Book,
-    readonly leading: LeaderTerm,
+    readonly marketState: MarketState,
+    readonly term: LeaderTerm,
   ) {
-    this.#desk = new Desk(core, settings, book, leading);
-    this.#giving = new Giving(this.#desk);
-    this.#rounds = new Rounds(this.#desk, this.#giving, (cluster, wall) =>
-      this.#plans(cluster, wall, settings.termMs),
+    this.#context = new LeaderContext(core, settings, marketState, term);
+    this.#grantTermination = new GrantTermination(this.#context);
+    this.#rounds = new Rounds(this.#context, this.#grantTermination, (cluster, wall) =>
+      this.#planZones(cluster, wall, settings.maxGrantMs),
     );
-    this.#demand = new Demand(settings.timeZone, settings.termMs);
+    this.#demand = new DemandForecast(settings.timeZone, settings.maxGrantMs);
     this.#calendar = new Calendar(settings.hours);
     this.#guests = new Set(settings.guests.map(({ name }) => name));
-    this.#savedAt = core.clock.now();
+    this.#demandSavedAt = core.clock.now();
     void this.#run();
   }
 
@@ -58,34 +58,35 @@
 
   async #run(): Promise<void> {
     const { clock, log, mirror } = this.core;
-    await mirror.waitForRevision(this.leading.claim.version);
+    await mirror.waitForRevision(this.term.claim.version);
     while (!this.#stopped) {
       try {
-        if (this.leading.valid()) await this.#step();
-        this.#reachable = true;
+        if (this.term.valid()) await this.#step();
+        this.#storeReachable = true;
       } catch (error) {
-        // What was on its way may still come to pass: everything is decided anew from the store.
-        if (this.#reachable) log.warn({ why: String(error) }, "market waits");
-        this.#reachable = false;
+        // Writes without an answer may still be applied: the next step decides again from the store.
+        if (this.#storeReachable) log.warn({ why: String(error) }, "market step failed, retrying");
+        this.#storeReachable = false;
       }
-      await sleep(clock, this.#everyMs);
+      await sleep(clock, this.#stepIntervalMs);
     }
   }
 
   async #step(): Promise<void> {
     if (!this.#loaded) await this.#load();
     const wall = Math.floor(this.core.clock.wall());
-    const cluster = clusterOf(this.core, this.#guests);
+    const cluster = clusterCapacityOf(this.core, this.#guests);
     for (const { zone, own, waiting } of cluster.zones.values()) {
       this.#demand.sample(zone, own + waiting, wall);
     }
-    // A grant was sold only if it ends before the own teams need its room; so what has to come back
-    // is what they need by the time that guests have saved, not all that a new grant would last.
-    const soon = this.#plans(cluster, wall, this.settings.saveMs + this.#everyMs);
-    await this.#giving.back(cluster, soon, wall);
-    await this.#giving.end(cluster, wall);
+    // Grants are sold only if the forecast for their whole length leaves room for them. So only what
+    // the own teams need by the time that guests have saved has to be reclaimed now, not what they
+    // may need over the length of a new grant.
+    const nearPlans = this.#planZones(cluster, wall, this.settings.saveMs + this.#stepIntervalMs);
+    await this.#grantTermination.reclaim(cluster, nearPlans, wall);
+    await this.#grantTermination.closeEnded(cluster, wall);
     await this.#rounds.step(cluster, wall);
-    await this.#keep();
+    await this.#maintain();
   }
 
   async #load(): Promise<void> {
@@ -99,51 +100,63 @@
     this.#loaded = true;
   }
 
-  get #everyMs(): number {
-    return (this.core.settings.params.workers.report_s * 1000) / LOOKS;
+  get #stepIntervalMs(): number {
+    return (this.core.settings.params.workers.report_s * 1000) / STEPS_PER_REPORT;
   }
 
-  /** What the own teams may need within a time from now, and so what may be sold for it. */
-  #plans(cluster: Cluster, wall: number, aheadMs: number): Map<string, ZonePlan> {
-    const { sure, growth } = this.settings;
+  /** By zone, what the own teams may need within `aheadMs` from now, and what may be sold for it. */
+  #planZones(cluster: ClusterCapacity, wall: number, aheadMs: number): Map<string, ZonePlan> {
+    const { demandQuantile, recentPeakFactor } = this.settings;
     const until = wall + aheadMs;
-    const grants = [...this.book.grants.values()].map(({ value }) => value);
-    const live = grants.filter((grant) => grant.until > wall);
-    const unused = unusedOf(live, cluster.use);
+    const grants = [...this.marketState.grants.values()].map(({ value }) => value);
+    const currentGrants = grants.filter((grant) => grant.until > wall);
+    const unusedCpus = unusedGrantedCpus(currentGrants, cluster.usedCpus);
     const windows = this.#calendar.windows(wall, until);
     const plans = new Map<string, ZonePlan>();
     for (const view of cluster.zones.values()) {
-      const forecast = this.#demand.forecast(view.zone, wall, until, sure, growth);
-      plans.set(view.zone, planZone(view, unused.get(view.zone) ?? 0, forecast, windows));
+      const forecast = this.#demand.forecast(
+        view.zone,
+        wall,
+        until,
+        demandQuantile,
+        recentPeakFactor,
+      );
+      plans.set(view.zone, planZone(view, unusedCpus.get(view.zone) ?? 0, forecast, windows));
     }
     return plans;
   }
 
-  /** What can wait: recorded demand, bids that are over, old pages. */
-  async #keep(): Promise<void> {
+  /** Low-priority writes: removes expired bids, folds old charge pages, saves recorded demand. */
+  async #maintain(): Promise<void> {
     const { clock, store } = this.core;
     const now = clock.now();
     const wall = clock.wall();
-    const over = [...this.book.bids].filter(
-      ([name, { value }]) => value.until < wall && this.book.grantsOf(name).length === 0,
+    const expired = [...this.marketState.bids].filter(
+      ([name, { value }]) => value.until < wall && this.marketState.grantsOf(name).length === 0,
     );
-    const batch = over.slice(0, store.limits.ops - 1);
-    if (batch.length > 0 && this.#desk.mayWrite(batch.length)) {
-      const gone = batch.map(([name, { version }]) => ({ key: `${keys.bids}${name}`, version }));
+    const expiredBatch = expired.slice(0, store.limits.ops - 1);
+    if (expiredBatch.length > 0 && this.#context.takeWrites(expiredBatch.length)) {
+      const conditions = expiredBatch.map(([name, { version }]) => ({
+        key: `${keys.bids}${name}`,
+        version,
+      }));
       await store.transact(
-        [...this.#desk.guard, ...gone],
-        gone.map(({ key }) => ({ remove: key })),
+        [...this.#context.leaderCondition, ...conditions],
+        conditions.map(({ key }) => ({ remove: key })),
       );
     }
-    if (now - this.#savedAt < SAVE_EVERY_MS) return;
-    this.#savedAt = now;
+    if (now - this.#demandSavedAt < DEMAND_SAVE_INTERVAL_MS) return;
+    this.#demandSavedAt = now;
     for (const { name } of this.settings.guests) {
-      if (!this.#desk.mayWrite(2)) return;
-      await this.#desk.accounts.fold(name);
+      if (!this.#context.takeWrites(2)) return;
+      await this.#context.accounts.foldOldestPage(name);
     }
-    for (const { zone, hour, packed } of this.#demand.changed()) {
-      if (!this.#desk.mayWrite(1)) throw new Refused("no budget for recorded demand");
-      await store.transact(this.#desk.guard, [{ put: keys.hour(zone, hour), value: packed }]);
+    for (const { zone, hour, packed } of this.#demand.takeChanged()) {
+      if (!this.#context.takeWrites(1))
+        throw new Refused("no write budget left to save recorded demand");
+      await store.transact(this.#context.leaderCondition, [
+        { put: keys.hour(zone, hour), value: packed },
+      ]);
     }
   }
 }
--- a/src/market/money.ts
+++ b/src/market/money.ts
@@ -1,19 +1,19 @@
 /**
- * Money and use, as exact integers: micro-units of whatever the operator counts in, and
- * slot-milliseconds. Products go through bigints, so nothing is rounded but where it says so.
+ * Money and use as exact integers: micro-units of the operator's currency, and slot-milliseconds.
+ * Products are computed with bigints, so nothing is rounded except where documented.
  */
-export const MICRO = 1_000_000;
+export const MICRO_PER_UNIT = 1_000_000;
 export const HOUR_MS = 3_600_000n;
 
-/** An amount with at most six decimals as micro-units; null when it is not one. */
-export function microOf(amount: number): number | null {
-  const micro = Math.round(amount * MICRO);
-  const exact = Number.isSafeInteger(micro) && Math.abs(amount * MICRO - micro) < 1e-3;
+/** Converts an amount to micro-units; null if it is negative or has more than six decimals. */
+export function toMicro(amount: number): number | null {
+  const micro = Math.round(amount * MICRO_PER_UNIT);
+  const exact = Number.isSafeInteger(micro) && Math.abs(amount * MICRO_PER_UNIT - micro) < 1e-3;
   return exact && amount >= 0 ? micro : null;
 }
 
-/** Micro-units for people, as decimal text. */
-export function unitsOf(micro: number | bigint): string {
+/** Formats micro-units as decimal text. */
+export function formatMicro(micro: number | bigint): string {
   const value = BigInt(micro);
   const sign = value < 0n ? "-" : "";
   const text = (value < 0n ? -value : value).toString().padStart(7, "0");
@@ -22,8 +22,8 @@
 }
 
 /**
- * What a number of slots cost for a time, rounded down: a guest never pays more than its use times
- * its price. `micro` is for a slot and an hour.
+ * The cost of a number of slots for a time, rounded down: a guest never pays more than its use times
+ * its price. `micro` is the price of a slot-hour.
  */
 export function costOf(
   micro: number,
@@ -34,9 +34,12 @@
   return { slotMs: Number(slotMs), micro: Number((slotMs * BigInt(micro)) / HOUR_MS) };
 }
 
-/** Compares a/b with c/d for positive denominators, exactly: below, at or above zero. */
+/**
+ * Compares a/b with c/d exactly, for positive denominators: negative, zero or positive if a/b is
+ * less than, equal to or greater than c/d.
+ */
 export function compareRatios(a: number, b: number, c: number, d: number): number {
-  // Most are far from each other: plain numbers tell those apart without bigints.
+  // Fast path: most ratios differ enough to compare them as floating-point numbers.
   const left = a * d;
   const right = c * b;
   if (Math.abs(left - right) > 1e-9 * (left + right)) return left < right ? -1 : 1;
--- a/src/market/records.ts
+++ b/src/market/records.ts
@@ -1,38 +1,38 @@
 import { z } from "zod";
 import type { Parsed } from "../wire/jobs.js";
-import { microOf } from "./money.js";
+import { toMicro } from "./money.js";
 
-/** What one slot is. */
+/** The resources of one slot. */
 export interface Slot {
   cpus: number;
   gpus: number;
   memGb: number;
 }
 
-/** What a guest wants, as the store keeps it. */
+/** A guest's bid, as stored. */
 export interface Bid {
   id: string;
   guest: string;
   slot: Slot;
   count: number;
-  /** The only zone that will do, or null. */
+  /** The zone it is restricted to; null for any. */
   zone: string | null;
-  /** The most it pays for a slot and an hour, micro-units. */
+  /** The most it pays for a slot-hour, micro-units. */
   most: number;
-  /** Times of day, milliseconds: slots are of use from the one to the other. */
+  /** Slots are wanted from `from` to `until`: wall clock times, milliseconds since the epoch. */
   from: number;
   until: number;
-  /** Shorter grants are of no use, milliseconds. */
+  /** The shortest grant it accepts, milliseconds. */
   least: number;
-  /** When a controller took it. */
+  /** When a controller accepted it. */
   at: number;
-  /** Random, by that controller: nobody can know beforehand what a draw will make of it. */
+  /** Random, chosen by that controller, so that nobody can predict the result of a tie-break draw. */
   salt: string;
-  /** When it was withdrawn. The record stays until `until`, so that it cannot come back. */
+  /** When it was withdrawn. The record is kept until `until`, so that the bid cannot be made again. */
   withdrawn?: number;
 }
 
-/** Slots that a guest has, in one part, until a time. */
+/** Slots that a guest may use in one part until a time. */
 export interface Grant {
   id: string;
   bid: string;
@@ -41,26 +41,29 @@
   slots: number;
   part: number;
   zone: string;
-  /** For a slot and an hour, micro-units. */
+  /** Price of a slot-hour, micro-units. */
   micro: number;
   from: number;
   until: number;
-  /** Why it ends before its time. */
+  /** Why it was cut short. */
   cut?: string;
 }
 
-/** A round: closed, when the bids in it are settled; cleared, when who wins is; done. */
+/**
+ * A round of bidding. closed: the set of bids is fixed; cleared: the winners are fixed; done: all
+ * grants are written.
+ */
 export interface Round {
-  /** The instant it was for, milliseconds: rounds have no other name. */
+  /** The time of the round, milliseconds since the epoch; it identifies the round. */
   instant: number;
   phase: "closed" | "cleared" | "done";
-  /** What has been won and is not granted yet, with the stamp that its bid had. */
+  /** Won slots whose grants are not written yet, with the version of their bid at clearing. */
   grants: [bid: string, stamp: number, grant: Grant][];
   /** The price of a core-hour as a fraction, micro-units; null when nothing was sold. */
   price: [number, number] | null;
 }
 
-/** One line of a guest's bill. */
+/** One charge to a guest: what a grant has cost. */
 export interface Charge {
   grant: string;
   from: number;
@@ -68,7 +71,7 @@
   slots: number;
   slot: Slot;
   zone: string;
-  /** For a slot and an hour. */
+  /** Price of a slot-hour, micro-units. */
   price: number;
   slotMs: number;
   micro: number;
@@ -76,13 +79,13 @@
 }
 
 export interface Account {
-  /** Charged and not settled. */
+  /** Charged and not paid yet, micro-units. */
   owed: number;
   charged: number;
   settled: number;
   slotMs: number;
   grants: number;
-  /** The first and last page of charges, and what pages before the first came to. */
+  /** The first and last page of charges; `folded` holds the sums of the pages before the first. */
   first: number;
   last: number;
   folded: { micro: number; slotMs: number; grants: number };
@@ -99,7 +102,7 @@
   folded: { micro: 0, slotMs: 0, grants: 0 },
 });
 
-/** What one round was like, for people. */
+/** Summary of one round, for reports. */
 export interface RoundNote {
   instant: number;
   price: number;
@@ -110,14 +113,14 @@
     string,
     { free: number; reserve: number; demand: number; sold: number; guests: number }
   >;
-  /** Grants cut since the round before, and the longest until their room was free, ms. */
+  /** Grants cut short since the previous round, and the longest time until one was released, ms. */
   cuts: number;
   slowestMs: number;
 }
 
-const pad = (value: number): string => String(value).padStart(9, "0");
+const padNumber = (value: number): string => String(value).padStart(9, "0");
 
-/** Bids, grants and the round are watched; what is for the books is not. */
+/** Bids, grants and the round have watched keys; accounts, notes and recorded demand do not. */
 export const keys = {
   bids: "w/m/b/",
   bid: (guest: string, id: string): string => `w/m/b/${guest}/${id}`,
@@ -126,12 +129,12 @@
   round: "w/m/round",
   account: (guest: string): string => `m/a/${guest}`,
   charges: (guest: string): string => `m/c/${guest}/`,
-  page: (guest: string, page: number): string => `m/c/${guest}/${pad(page)}`,
+  page: (guest: string, page: number): string => `m/c/${guest}/${padNumber(page)}`,
   payment: (guest: string, id: string): string => `m/p/${guest}/${id}`,
   notes: "m/h/",
-  note: (slot: number): string => `m/h/${pad(slot)}`,
-  ties: (slot: number): string => `m/t/${pad(slot)}/`,
-  tie: (slot: number, page: number): string => `m/t/${pad(slot)}/${pad(page)}`,
+  note: (slot: number): string => `m/h/${padNumber(slot)}`,
+  ties: (slot: number): string => `m/t/${padNumber(slot)}/`,
+  tie: (slot: number, page: number): string => `m/t/${padNumber(slot)}/${padNumber(page)}`,
   demand: "m/f/",
   hour: (zone: string, hour: number): string => `m/f/${encodeURIComponent(zone)}/${hour}`,
 };
@@ -148,9 +151,9 @@
   isRecord(value) && typeof value.owed === "number" && typeof value.last === "number";
 
 export const BID_ID = /^[A-Za-z0-9][A-Za-z0-9_.-]{0,59}$/;
-/** Bids and withdrawn bids are kept until they end, so that must be within sight. */
-const MOST_AN_HOUR = 1e7;
-export const MOST_AHEAD_MS = 31 * 86_400_000;
+const MAX_PRICE_TIMES_SLOTS = 1e7;
+/** Bids, also withdrawn ones, are stored until they end, so their end must not be far ahead. */
+export const MAX_LATEST_AHEAD_MS = 31 * 86_400_000;
 
 const amount = z.number().finite().nonnegative().max(1e6);
 const bidSchema = z.strictObject({
@@ -169,30 +172,34 @@
 
 /**
  * A bid as a guest sends it: `{id, guest, cores, accelerators, memGb, slots, zone, price, earliest,
- * latest, leastS}`; `price` for a slot and an hour with at most six decimals, `earliest` and
- * `latest` in seconds since the epoch, `leastS` in seconds. The reason names the field.
+ * latest, leastS}`. `price` is for a slot-hour, with at most six decimals; `earliest` and `latest` are
+ * in seconds since the epoch; `leastS` is in seconds. The reason for a rejection names the field.
  */
 export function parseBid(body: unknown, now: number): Parsed<Omit<Bid, "salt">> {
-  const no = (reason: string): Parsed<never> => ({ ok: false, reason });
-  if (!isRecord(body)) return no("the body is not a map");
+  const invalid = (reason: string): Parsed<never> => ({ ok: false, reason });
+  if (!isRecord(body)) return invalid("the body must be a map");
   const result = bidSchema.safeParse(body);
   if (!result.success) {
     const issue = result.error.issues[0];
-    return no(`${issue?.path.join(".") || "body"}: ${issue?.message}`);
+    return invalid(`${issue?.path.join(".") || "body"}: ${issue?.message}`);
   }
   const bid = result.data;
-  if (bid.cores + bid.accelerators <= 0) return no("cores: a slot has cores or accelerators");
-  const most = microOf(bid.price);
-  if (most === null || most === 0) return no("price: at most six decimals, and above 0");
-  // A week of it has to be an exact integer of micro-units.
-  if (bid.price * bid.slots > MOST_AN_HOUR) return no("price: times slots, above 10,000,000");
+  if (bid.cores + bid.accelerators <= 0)
+    return invalid("cores: a slot needs cores or accelerators");
+  const most = toMicro(bid.price);
+  if (most === null || most === 0)
+    return invalid("price: must be above 0, with at most six decimals");
+  // The cost of a week must be exact as an integer of micro-units.
+  if (bid.price * bid.slots > MAX_PRICE_TIMES_SLOTS)
+    return invalid("price: price times slots must be at most 10,000,000");
   const from = Math.round((bid.earliest ?? 0) * 1000);
   const until = Math.round(bid.latest * 1000);
   const least = Math.round(bid.leastS * 1000);
-  if (until <= now) return no("latest: in the past");
-  if (until - now > MOST_AHEAD_MS) return no("latest: more than 31 days ahead");
-  if (until <= from) return no("latest: not after earliest");
-  if (until - Math.max(from, now) < least) return no("leastS: longer than what is left");
+  if (until <= now) return invalid("latest: in the past");
+  if (until - now > MAX_LATEST_AHEAD_MS) return invalid("latest: more than 31 days ahead");
+  if (until <= from) return invalid("latest: must be after earliest");
+  if (until - Math.max(from, now) < least)
+    return invalid("leastS: longer than the time that is left until latest");
   return {
     ok: true,
     value: {
@@ -210,9 +217,9 @@
   };
 }
 
-/** Whether a repeated bid says what the known one said. */
-export function sameBid(a: Omit<Bid, "salt">, b: Omit<Bid, "salt">): boolean {
-  const said = (bid: Omit<Bid, "salt">): string => {
+/** Whether a repeated bid has the same content as the stored one. */
+export function isSameBid(a: Omit<Bid, "salt">, b: Omit<Bid, "salt">): boolean {
+  const contentOf = (bid: Omit<Bid, "salt">): string => {
     const { slot, count, zone, most, from, until, least } = bid;
     return JSON.stringify([
       slot.cpus,
@@ -226,5 +233,5 @@
       least,
     ]);
   };
-  return said(a) === said(b);
+  return contentOf(a) === contentOf(b);
 }
--- a/src/market/report.ts
+++ b/src/market/report.ts
@@ -1,6 +1,6 @@
 import * as echarts from "echarts";
 import type { AccountView } from "./client.js";
-import { MICRO, unitsOf } from "./money.js";
+import { formatMicro, MICRO_PER_UNIT } from "./money.js";
 import type { RoundNote } from "./records.js";
 
 export interface ReportInput {
@@ -18,13 +18,13 @@
 interface Line {
   name: string;
   points: [number, number][];
-  /** Drawn as steps: what holds for a round. */
+  /** Drawn as steps, for values that hold for a whole round. */
   steps?: boolean;
-  /** Filled, one on top of the other. */
+  /** Lines with the same `stack` are drawn as stacked filled areas. */
   stack?: string;
 }
 
-/** A chart as SVG text: drawn without a browser, and shown without anything from elsewhere. */
+/** A chart as SVG text, rendered without a browser and without references to external resources. */
 function chart(title: string, unit: string, lines: readonly Line[]): string {
   const canvas = echarts.init(null, null, {
     renderer: "svg",
@@ -82,7 +82,7 @@
 
 const isoMinute = (ms: number): string => new Date(ms).toISOString().slice(0, 16).replace("T", " ");
 
-/** One HTML file without references to anything outside of it. */
+/** The report as one HTML file without references to external resources. */
 export function reportHtml({ title, rounds, accounts }: ReportInput): string {
   const zones = [...new Set(rounds.flatMap((round) => Object.keys(round.zones)))].sort();
   const over = (value: (round: RoundNote) => number | undefined): [number, number][] =>
@@ -95,12 +95,12 @@
     chart("Price of a core-hour, rounds that sold something", "per hour", [
       {
         name: "clearing price",
-        points: cleared.map(({ instant, price }) => [instant, price / MICRO]),
+        points: cleared.map(({ instant, price }) => [instant, price / MICRO_PER_UNIT]),
         steps: true,
       },
     ]),
     ...zones.map((zone) =>
-      chart(`Zone ${zone}: room`, "CPUs", [
+      chart(`Zone ${zone}: capacity`, "CPUs", [
         { name: "free", points: over((r) => r.zones[zone]?.free), stack: "room" },
         { name: "used by guests", points: over((r) => r.zones[zone]?.guests), stack: "room" },
         { name: "sold in the round", points: over((r) => r.zones[zone]?.sold), steps: true },
@@ -112,9 +112,9 @@
         { name: "demand and reserve", points: over((r) => r.zones[zone]?.reserve), steps: true },
       ]),
     ),
-    chart("Given back", "grants, seconds", [
+    chart("Grants cut short", "grants, seconds", [
       { name: "grants cut short", points: over((r) => r.cuts), steps: true },
-      { name: "longest until free, s", points: over((r) => r.slowestMs / 1000) },
+      { name: "longest until released, s", points: over((r) => r.slowestMs / 1000) },
     ]),
     bars(
       "Charged, by guest",
@@ -127,7 +127,7 @@
       (one) =>
         `<tr><td>${html(guest)}</td><td>${html(one.grant)}</td><td>${html(one.zone)}</td>` +
         `<td>${one.slots}</td><td>${isoMinute(one.from)}</td><td>${one.slotMs}</td>` +
-        `<td>${unitsOf(one.micro)}</td><td>${html(one.cut ?? "")}</td></tr>`,
+        `<td>${formatMicro(one.micro)}</td><td>${html(one.cut ?? "")}</td></tr>`,
     ),
   );
   const sums = accounts.map(
--- a/src/market/settings.ts
+++ b/src/market/settings.ts
@@ -1,9 +1,9 @@
 import type { Amounts } from "../fair/share.js";
 import type { PackageSchema, Refuse } from "../settings/tuning.js";
-import { checkHours, type Hours } from "./calendar.js";
-import { MICRO, microOf } from "./money.js";
+import { type Hours, validateHours } from "./calendar.js";
+import { MICRO_PER_UNIT, toMicro } from "./money.js";
 
-/** The message `market` in the operators' settings; `deploy/market.textproto` explains it. */
+/** The message `market` of the operators' settings; `deploy/market.textproto` documents it. */
 export const schema: PackageSchema = {
   field: "market",
   number: 100,
@@ -46,31 +46,31 @@
 export interface Guest {
   name: string;
   group: string | null;
-  /** The most that it may use at a time. */
+  /** The most that it may use at any time. */
   most: Amounts;
-  /** The most that it may owe, with what its running grants will cost, in micro-units. */
+  /** The most that it may owe, including the cost of its current grants, micro-units. */
   mayOwe: number;
 }
 
 export interface MarketSettings {
-  /** Rounds are cleared at multiples of this since the epoch. */
-  everyMs: number;
-  /** The longest that a grant lasts. */
-  termMs: number;
-  /** What a guest's tasks get to save at the end of a grant. */
+  /** Rounds are held at multiples of this since the epoch. */
+  roundIntervalMs: number;
+  /** The longest that a grant may last. */
+  maxGrantMs: number;
+  /** Time that a guest's tasks get to save their work before the end of a grant. */
   saveMs: number;
-  /** The least that a core-hour costs, in micro-units. */
-  leastMicro: number;
-  /** The share of recorded demand that the reserve has to cover, below 1. */
-  sure: number;
-  /** Where too little is recorded: this many times the highest demand seen lately. */
-  growth: number;
-  /** The zone in which hours of the day are counted for the forecast. */
+  /** The minimum price of a core-hour, micro-units. */
+  minPriceMicro: number;
+  /** The quantile of recorded demand that the reserve has to cover, below 1. */
+  demandQuantile: number;
+  /** Used where too little demand is recorded: the forecast is this many times the highest recent demand. */
+  recentPeakFactor: number;
+  /** Time zone of the hours of the day by which demand is recorded. */
   timeZone: string;
-  /** Whether machines are rented for bids that pay what their cores cost. */
+  /** Whether to rent machines for bids that pay at least the price of their cores. */
   rent: boolean;
-  openBids: number;
-  bidsAMinute: number;
+  maxOpenBids: number;
+  bidsPerMinute: number;
   guests: Guest[];
   hours: Hours[];
 }
@@ -85,7 +85,7 @@
   keep?: number;
 }
 
-interface Raw {
+interface RawSettings {
   every_s?: number;
   term_s?: number;
   save_s?: number;
@@ -101,28 +101,28 @@
 }
 
 const DAY_S = 86_400;
-/** Names of guests are parts of keys and paths. */
-const NAME = /^[A-Za-z0-9][A-Za-z0-9_.-]{0,59}$/;
+/** Names of guests are used in keys and paths. */
+const GUEST_NAME = /^[A-Za-z0-9][A-Za-z0-9_.-]{0,59}$/;
 
 /**
- * Checks the message. `reportS` and `leaseS` are those of the workers: a round takes some reports,
- * and a grant shorter than a lease would end before its tasks have begun.
+ * Validates the message. `reportS` and `leaseS` are the workers' report interval and lease: a round
+ * takes several reports, and a grant shorter than a lease would end before its tasks have started.
  */
 export function readSettings(
   given: unknown,
   { reportS, leaseS, zones }: { reportS: number; leaseS: number; zones: readonly string[] },
   refuse: Refuse,
 ): MarketSettings {
-  const raw = given as Raw;
+  const raw = given as RawSettings;
   const number = (
-    name: keyof Raw & string,
+    name: keyof RawSettings & string,
     fallback: number,
-    least: number,
-    most: number,
+    min: number,
+    max: number,
   ): number => {
     const value = raw[name] === undefined ? fallback : Number(raw[name]);
-    if (!(value >= least && value <= most)) {
-      refuse(`${name}: ${value} is not between ${least} and ${most}`, name);
+    if (!(value >= min && value <= max)) {
+      refuse(`${name}: ${value} is not between ${min} and ${max}`, name);
     }
     return value;
   };
@@ -132,35 +132,37 @@
   const timeZone = raw.time_zone ?? "UTC";
   const guests: Guest[] = [];
   for (const { name = "", group, most, may_owe } of raw.guest ?? []) {
-    if (!NAME.test(name)) {
+    if (!GUEST_NAME.test(name)) {
       refuse(`guest "${name}": a name has 1 to 60 of A-Z, a-z, 0-9, "_", "." and "-"`, name);
     }
-    if (guests.some((guest) => guest.name === name)) refuse(`guest ${name} is there twice`, name);
+    if (guests.some((guest) => guest.name === name)) refuse(`guest ${name} is listed twice`, name);
     const cpus = most?.cpus ?? 0;
     const gpus = most?.gpus ?? 0;
     if (!(cpus >= 0 && gpus >= 0 && cpus + gpus > 0 && cpus < 1e7 && gpus < 1e7)) {
       refuse(`guest ${name}: most: cpus or gpus must be above 0`, name);
     }
-    const mayOwe = may_owe === undefined ? Number.MAX_SAFE_INTEGER : microOf(may_owe);
+    const mayOwe = may_owe === undefined ? Number.MAX_SAFE_INTEGER : toMicro(may_owe);
     if (mayOwe === null) {
-      refuse(`guest ${name}: may_owe: not an amount with at most six decimals`, name);
+      refuse(`guest ${name}: may_owe: must be an amount of at most six decimals`, name);
     }
     guests.push({ name, group: group ?? null, most: { cpus, gpus }, mayOwe: mayOwe! });
   }
-  if (guests.length === 0) refuse("market: it has no guest", "market");
+  if (guests.length === 0) refuse("market: no guest is configured", "market");
   const hours = (raw.hours ?? []).map((one): Hours => {
     const { name = "", starts = "", ends, lasts_s, zone, keep } = one;
-    const of = (reason: string, near: string): never => refuse(`hours ${name}: ${reason}`, near);
-    if (name === "") refuse("hours: name is missing", "hours");
+    const refuseHours = (reason: string, near: string): never =>
+      refuse(`hours ${name}: ${reason}`, near);
+    if (name === "") refuse("hours: a name is required", "hours");
     if (zone !== undefined && zones.length > 0 && !zones.includes(zone)) {
-      of(`the platform has no zone ${zone}`, zone);
+      refuseHours(`the platform has no zone ${zone}`, zone);
     }
-    if (keep !== undefined && !(keep >= 0)) of("keep must not be negative", name);
-    if ((ends === undefined) === (lasts_s === undefined)) of("give ends or lasts_s", name);
+    if (keep !== undefined && !(keep >= 0)) refuseHours("keep must not be negative", name);
+    if ((ends === undefined) === (lasts_s === undefined))
+      refuseHours("either ends or lasts_s is required, not both", name);
     if (lasts_s !== undefined && !(lasts_s > 0 && lasts_s <= 7 * DAY_S)) {
-      of("lasts_s must be above 0 and at most a week", name);
+      refuseHours("lasts_s must be above 0 and at most a week", name);
     }
-    const made: Hours = {
+    const checked: Hours = {
       name,
       starts,
       ends: ends ?? null,
@@ -169,23 +171,29 @@
       zone: zone ?? null,
       keepCpus: keep ?? null,
     };
-    const wrong = checkHours(made);
-    if (wrong !== null) of(wrong.reason, wrong.near);
-    return made;
+    const hoursError = validateHours(checked);
+    if (hoursError !== null) refuseHours(hoursError.reason, hoursError.near);
+    return checked;
   });
-  const zoneOk = checkHours({ name: "", starts: "0 0 * * *", ends: null, lastsMs: 1000, timeZone });
-  if (zoneOk !== null) refuse(`market: ${zoneOk.reason}`, zoneOk.near);
+  const timeZoneError = validateHours({
+    name: "",
+    starts: "0 0 * * *",
+    ends: null,
+    lastsMs: 1000,
+    timeZone,
+  });
+  if (timeZoneError !== null) refuse(`market: ${timeZoneError.reason}`, timeZoneError.near);
   return {
-    everyMs: everyS * 1000,
-    termMs: termS * 1000,
+    roundIntervalMs: everyS * 1000,
+    maxGrantMs: termS * 1000,
     saveMs: saveS * 1000,
-    leastMicro: Math.ceil(number("least_price", 0, 0, 1e6) * MICRO),
-    sure: number("sure", 0.99, 0.5, 0.9999),
-    growth: number("growth", 2, 1, 100),
+    minPriceMicro: Math.ceil(number("least_price", 0, 0, 1e6) * MICRO_PER_UNIT),
+    demandQuantile: number("sure", 0.99, 0.5, 0.9999),
+    recentPeakFactor: number("growth", 2, 1, 100),
     timeZone,
     rent: raw.rent ?? false,
-    openBids: number("open_bids", 20, 1, 10_000),
-    bidsAMinute: number("bids_a_minute", 30, 0.1, 100_000),
+    maxOpenBids: number("open_bids", 20, 1, 10_000),
+    bidsPerMinute: number("bids_a_minute", 30, 0.1, 100_000),
     guests,
     hours,
   };
--- a/src/market/zones.ts
+++ b/src/market/zones.ts
@@ -1,25 +1,25 @@
 import type { Core } from "../extension/index.js";
+import type { ZoneView } from "./capacity-plan.js";
 import type { SpareRoom } from "./clearing.js";
-import type { ZoneView } from "./reserve.js";
 
-/** What the parts' summaries say of all zones, with guests and own teams told apart. */
-export interface Cluster {
+/** Capacity of all zones from the parts' summaries, with guests and own teams counted separately. */
+export interface ClusterCapacity {
   zones: Map<string, ZoneView>;
   rooms: SpareRoom[];
-  /** CPUs that a guest uses in a part. */
-  use(guest: string, part: number): number;
-  /** Parts that have said nothing with room by machine: their owner does not know the market. */
-  mute: number[];
+  /** CPUs that a guest's tasks use in a part. */
+  usedCpus(guest: string, part: number): number;
+  /** Parts without a summary that lists free capacity: their owner has not enabled the market. */
+  unknownParts: number[];
 }
 
 /**
- * A part belongs to the zone of its home. Machines of another zone (one without a controller) are
- * not sold: their part's figures could not be told apart by zone.
+ * A part belongs to the zone of its home controller. Its machines in another zone (one without a
+ * controller) are not sold: the part's figures are not split by zone.
  */
-export function clusterOf(core: Core, guests: ReadonlySet<string>): Cluster {
+export function clusterCapacityOf(core: Core, guests: ReadonlySet<string>): ClusterCapacity {
   const zones = new Map<string, ZoneView>();
   const rooms: SpareRoom[] = [];
-  const mute: number[] = [];
+  const unknownParts: number[] = [];
   for (let part = 0; part < core.layout.parts; part++) {
     const { zone } = core.layout.home(part);
     const summary = core.summaries.of(part);
@@ -29,7 +29,7 @@
       zones.set(zone, view);
     }
     if (summary?.rooms === undefined) {
-      mute.push(part);
+      unknownParts.push(part);
       continue;
     }
     view.waiting += summary.starved ?? 0;
@@ -46,13 +46,13 @@
   return {
     zones,
     rooms,
-    mute,
-    use: (guest, part) => core.summaries.of(part)?.use[guest]?.[0] ?? 0,
+    unknownParts,
+    usedCpus: (guest, part) => core.summaries.of(part)?.use[guest]?.[0] ?? 0,
   };
 }
 
-/** How many cores of a machine go with one of its GPUs, and with a GB, over all types. */
-export function worthOf(core: Core): { gpus: number; memGb: number } {
+/** How many cores machines have for each GPU and for each GB of memory, over all types. */
+export function coreEquivalents(core: Core): { gpus: number; memGb: number } {
   let cpus = 0;
   let gpus = 0;
   let memGb = 0;
--- a/test/guests.test.ts
+++ b/test/guests.test.ts
@@ -19,8 +19,8 @@
 
 const cpus = (n: number) => ({ cpus: n, gpus: 0 });
 
-/** 100 CPUs guaranteed to `own`, none to `guests`; what each uses. */
-function shared(own: number, guests: number): ShareTree {
+/** A share tree with 100 CPUs guaranteed to `own` and none to `guests`, using `own` and `guests` CPUs. */
+function treeWithUse(own: number, guests: number): ShareTree {
   const tree = new ShareTree([
     { name: ROOT, parent: null, weight: 1, nominal: cpus(100) },
     { name: "own", parent: ROOT, weight: 1, nominal: cpus(100) },
@@ -40,16 +40,27 @@
   rank?: number;
   want: string | null;
 }[] = [
-  { name: "a guarantee has it back at once", own: 50, guests: 50, want: "reclaim" },
-  { name: "a borrower with a smaller share, when it saves", own: 110, guests: 50, want: "lent" },
-  { name: "not what does not save", own: 110, guests: 50, lent: false, want: null },
-  { name: "not for one with a larger share", own: 160, guests: 50, want: null },
-  { name: "not before it has waited at all", own: 110, guests: 50, patience: -1, want: null },
-  { name: "not what has a higher priority", own: 110, guests: 50, rank: 2, want: null },
+  { name: "to a team within its guarantee, at once", own: 50, guests: 50, want: "reclaim" },
+  {
+    name: "to a team with a smaller share, if the victim is lent",
+    own: 110,
+    guests: 50,
+    want: "lent",
+  },
+  { name: "not if the victim is not lent", own: 110, guests: 50, lent: false, want: null },
+  { name: "not to a team with a larger share", own: 160, guests: 50, want: null },
+  {
+    name: "not before the preemptor may cause any loss",
+    own: 110,
+    guests: 50,
+    patience: -1,
+    want: null,
+  },
+  { name: "not from a victim of a higher priority", own: 110, guests: 50, rank: 2, want: null },
 ];
 for (const { name, own, guests, lent = true, patience = 0, rank = 0, want } of cases) {
-  test(`lent room is given back: ${name}`, () => {
-    const asker: Preemptor = {
+  test(`lent capacity is reclaimed: ${name}`, () => {
+    const preemptor: Preemptor = {
       team: "own",
       rank: 1,
       size: cpus(1),
@@ -59,11 +70,11 @@
     };
     const victim: Victim = { id: "v", team: "guests", rank, size: cpus(1), loss: 20_000 };
     if (lent) victim.lent = true;
-    assert.equal(preemptionReason(shared(own, guests), asker, victim), want);
+    assert.equal(preemptionReason(treeWithUse(own, guests), preemptor, victim), want);
   });
 }
 
-test("lent room: it goes before what others would lose, whatever the shares", () => {
+test("lent capacity: it is reclaimed before tasks that are not lent, whatever the shares", () => {
   const tree = new ShareTree([
     { name: ROOT, parent: null, weight: 1, nominal: cpus(100) },
     { name: "own", parent: ROOT, weight: 1, nominal: cpus(80) },
@@ -73,7 +84,7 @@
   tree.charge("light", cpus(60));
   tree.charge("guests", cpus(30));
   assert.ok(tree.share("light") > tree.share("guests"));
-  const asker: Preemptor = {
+  const preemptor: Preemptor = {
     team: "own",
     rank: 1,
     size: cpus(1),
@@ -85,16 +96,16 @@
     { id: "a", team: "light", rank: 0, size: cpus(1), loss: 0 },
     { id: "b", team: "guests", rank: 0, size: cpus(1), loss: 9, lent: true },
   ];
-  const picks = chooseVictims(tree, asker, victims, (stopped) => stopped.size > 0, 4);
+  const picks = chooseVictims(tree, preemptor, victims, (stopped) => stopped.size > 0, 4);
   assert.deepEqual(
     picks.map(({ victim, reason }) => [victim.id, reason]),
     [["b", "reclaim"]],
   );
 });
 
-test("lent room: who has no guarantee has nobody else's task stopped, and its own by priority", () => {
-  const tree = shared(170, 10);
-  const asker: Preemptor = {
+test("lent capacity: a borrower preempts no other team, and its own tasks by priority", () => {
+  const tree = treeWithUse(170, 10);
+  const preemptor: Preemptor = {
     team: "guests",
     rank: 3,
     size: cpus(1),
@@ -103,25 +114,29 @@
     maxFairLoss: 1e9,
   };
   const own: Victim = { id: "v", team: "own", rank: 0, size: cpus(1), loss: 0 };
-  assert.equal(preemptionReason(tree, asker, own), "fair", "or it would by its share");
-  const borrower = { ...asker, borrower: true };
+  assert.equal(
+    preemptionReason(tree, preemptor, own),
+    "fair",
+    "without `borrower` it could preempt by its share",
+  );
+  const borrower = { ...preemptor, borrower: true };
   assert.equal(preemptionReason(tree, borrower, own), null);
   assert.ok(!canPreemptFrom(tree, borrower, "own", true));
   assert.equal(preemptionReason(tree, borrower, { ...own, team: "guests" }), "priority");
 });
 
-test("lent room: nothing dear is rented for it, as it is for the others", async () => {
+test("lent capacity: no expensive machines are rented for borrowers, unlike for other teams", async () => {
   const teams = [
     { name: "red", cpus: 8, max: 20 },
     { name: "guests", cpus: 0, max: 0 },
   ];
   const world = new World(7, 3, teams, 6);
   await world.clock.run(20_000);
-  // Ordinary machines cost three times as much as spot ones there.
+  // In this world ordinary machines cost three times as much as spot machines.
   const guest = world.submit("wk-600001", { team: "guests", tasks: 2, spot: false });
   await world.clock.run(120_000);
   assert.ok(guest.accepted);
-  assert.ok(!guest.toldDone, "or a machine has come and gone");
+  assert.ok(!guest.toldDone, "a machine must have been rented for it and returned");
   assert.deepEqual([...world.workers.values()].filter(({ spot }) => !spot).length, 0);
   const own = world.submit("wk-600002", { team: "red", tasks: 2, spot: false });
   await world.clock.run(200_000);
@@ -129,7 +144,7 @@
   assert.ok(own.toldDone);
 });
 
-test("lent room: a gang of guests leaves the tenth as well", () => {
+test("lent capacity: a gang of guests also leaves a tenth of the part free", () => {
   const type = { cpus: 4, gpus: 0, memGb: 64, price: 1, spotPrice: 1, bootS: 10, zones: ["a"] };
   const bench = new PlacingBench(new Map([["m4", { name: "m4", ...type }]]), null, ["guests"]);
   bench.ctx.isBorrower = () => true;
@@ -140,8 +155,8 @@
   assert.deepEqual([bench.where(large).length, bench.where(fits).length], [0, 36]);
 });
 
-/** Machines of 4 CPUs, and guests to whom all is lent. */
-function lending(machines: number, teams: string[]): PlacingBench {
+/** A part with machines of 4 CPUs, where `guests` is a borrower. */
+function benchWithBorrower(machines: number, teams: string[]): PlacingBench {
   const type = { cpus: 4, gpus: 0, memGb: 64, price: 1, spotPrice: 1, bootS: 10, zones: ["a"] };
   const bench = new PlacingBench(new Map([["m4", { name: "m4", ...type }]]), null, teams);
   bench.ctx.isBorrower = (team) => team === "guests";
@@ -149,8 +164,8 @@
   return bench;
 }
 
-test("lent room: a tenth of a part is not lent, and is there for the others", async () => {
-  const bench = lending(10, ["red", "guests"]);
+test("lent capacity: a tenth of a part is not lent and stays free for other teams", async () => {
+  const bench = benchWithBorrower(10, ["red", "guests"]);
   const scan = bench.job({ team: "guests", tasks: 1000 });
   bench.pass();
   assert.equal(bench.where(scan).length, 36);
@@ -159,7 +174,7 @@
   assert.equal(bench.where(own).length, 4);
   bench.pass();
   assert.equal(bench.where(scan).length, 36);
-  // Others lack room: what becomes free is not lent for a while, but for a tenth.
+  // While other teams lack capacity, only a tenth of what becomes free is lent for a while.
   const more = bench.job({ team: "red", tasks: 2, cpus: 4 });
   bench.pass();
   assert.deepEqual(bench.where(more), []);
@@ -174,12 +189,12 @@
   assert.equal(bench.where(scan).length, 32);
 });
 
-test("lent room: one huge job does not keep small ones of its team from beginning", async () => {
-  const bench = lending(10, ["red", "guests"]);
+test("lent capacity: a huge job does not keep small jobs of its team from starting", async () => {
+  const bench = benchWithBorrower(10, ["red", "guests"]);
   const huge = bench.job({ team: "guests", tasks: 1000 });
   bench.pass();
   const small = [0, 1, 2].map(() => bench.job({ team: "guests" }));
-  // They have not waited long: the older job keeps its turn.
+  // They have not waited long: the older job is still placed first.
   bench.clear(huge);
   bench.pass();
   assert.deepEqual(
@@ -191,13 +206,13 @@
   bench.clear(huge);
   bench.pass();
   assert.equal(small.flatMap((id) => bench.where(id)).length, 3);
-  // Theirs are single tasks; of a larger job the first alone comes before.
+  // Each has a single task; of a larger job only the first task would be placed ahead.
   assert.equal(bench.where(huge).length, 33);
 });
 
-test("lent room: the first task of a job passed over for long comes before those who borrow less", async () => {
-  const bench = lending(20, ["red", "blue", "guests"]);
-  // Above what the tree has for each, 2, red borrows 2 and the guests 4; one CPU is left.
+test("lent capacity: the first task of a job that waited long goes before teams that borrow less", async () => {
+  const bench = benchWithBorrower(20, ["red", "blue", "guests"]);
+  // Beyond the 2 CPUs that the tree has for each, red borrows 2 and the guests 4; one CPU is left.
   for (const [team, tasks] of [
     ["guests", 6],
     ["red", 4],
@@ -215,7 +230,7 @@
   assert.deepEqual([bench.where(passedOver).length, bench.where(next).length], [1, 0]);
 });
 
-test("lent room: what is needed for it is said to be, also between controllers", () => {
+test("lent capacity: capacity requests for it keep their `lent` mark in frames between controllers", () => {
   const summary: Summary = {
     use: {},
     demand: [],
@@ -237,7 +252,7 @@
   assert.deepEqual(decodeFrame(encodeFrame(frame).subarray(4)), frame);
 });
 
-test("refusals for good show: once a minute a team and reason, all of them counted", async () => {
+test("refusals: logged once a minute per team and reason, and all counted", async () => {
   const clock = new FakeClock();
   const warned: object[] = [];
   const log = { ...quiet, warn: (fields: object) => void warned.push(fields) };
@@ -245,7 +260,7 @@
   const refusals = new Refusals(new Set(["guests"]), clock, log, metrics, 60_000);
   for (let i = 0; i < 100; i++) {
     refusals.note(`wk-${i}`, "guests", "over the team's limit", "more than the team's limit");
-    // Names that anybody may send are one, however many.
+    // All unknown team names count as one, as anybody may send any number of them.
     refusals.note(`wk-x${i}`, `stranger-${i}`, "unknown team", "unknown team");
   }
   assert.equal(warned.length, 2);
--- a/test/market-day.test.ts
+++ b/test/market-day.test.ts
@@ -19,22 +19,22 @@
 import { Random } from "./support/random.js";
 import { FakeState, FakeStore } from "./support/store.js";
 
-test("market: own tasks never wait behind guests for longer than the stated bound", async () => {
+test("market: own tasks wait for guests' tasks to stop no longer than the stated bound", async () => {
   const operators = await operatorsOf(MARKET);
   const day = { seed: 3, operators, guests: true, stormAt: 70_000, lengthMs: 150_000 };
   const { market, behind, first, used } = await playDay(day);
   market.world.stop();
   assert.ok(used > 0 && first.size > 20);
-  // docs/market.md: 1.25 report_s until the stop is heard, half a second until its report, a
-  // quarter of report_s until the pass, half a second until the report that is answered with the
-  // start; and a commit, and a step of this test.
+  // The bound of docs/market.md: 1.25 report_s until the worker receives the stop, 0.5 s until it
+  // reports the end, a quarter of report_s until the placement pass, 0.5 s until the report that is
+  // answered with the start; plus one commit and one step of this test.
   const bound = 2500 + 500 + 500 + 500 + 200;
   assert.ok(quantile(behind.values(), 1) <= bound, `${quantile(behind.values(), 1)} ms`);
   assert.deepEqual(market.wrong, []);
   assert.deepEqual(market.world.violations, []);
 });
 
-// ---- who yields -----------------------------------------------------------------------------
+// ---- preemptible teams ----------------------------------------------------------------------
 
 const treeOf = (use: Record<string, number>): ShareTree => {
   const groups = ["red", "blue", "visitor"].map((name) => ({
@@ -50,7 +50,7 @@
   for (const [team, cpus] of Object.entries(use)) tree.charge(team, { cpus, gpus: 0 });
   return tree;
 };
-const asker: Preemptor = {
+const preemptor: Preemptor = {
   team: "red",
   rank: 0,
   size: { cpus: 2, gpus: 0 },
@@ -58,7 +58,7 @@
   maxLoss: -1,
   maxFairLoss: -1,
 };
-const victim = (id: string, team: string, yields?: number): Victim => ({
+const victimOf = (id: string, team: string, yields?: number): Victim => ({
   id,
   team,
   rank: 3,
@@ -67,21 +67,25 @@
   ...(yields === undefined ? {} : { preemptionValue: yields }),
 });
 
-test("preemption: who yields is stopped at once, whatever priority; others are not", () => {
+test("preemption: tasks of preemptible teams are stopped whatever their priority, others are not", () => {
   const tree = treeOf({ red: 12, blue: 12, visitor: 8 });
-  assert.equal(preemptionReason(tree, asker, victim("g", "visitor", 5)), "yield");
-  assert.equal(preemptionReason(tree, asker, victim("b", "blue")), null);
-  const all = [victim("b", "blue"), victim("dear", "visitor", 9), victim("cheap", "visitor", 5)];
-  const picks = chooseVictims(tree, asker, all, (stopped) => stopped.size >= 1, 16);
+  assert.equal(preemptionReason(tree, preemptor, victimOf("g", "visitor", 5)), "yield");
+  assert.equal(preemptionReason(tree, preemptor, victimOf("b", "blue")), null);
+  const all = [
+    victimOf("b", "blue"),
+    victimOf("dear", "visitor", 9),
+    victimOf("cheap", "visitor", 5),
+  ];
+  const picks = chooseVictims(tree, preemptor, all, (stopped) => stopped.size >= 1, 16);
   assert.deepEqual(
     picks.map(({ victim: { id } }) => id),
     ["cheap"],
   );
 });
 
-// ---- machines that were returned and still show ---------------------------------------------
+// ---- returned machines that summaries still list --------------------------------------------
 
-test("fleet: idle machines that are kept stay, though summaries are older than what went back", async () => {
+test("fleet: keeps the idle machines to be kept, although summaries still list returned ones", async () => {
   const clock = new FakeClock();
   const state = new FakeState(clock, LIMITS);
   const store = new FakeStore(state, clock, new Random(1), LIMITS, 1000);
@@ -131,7 +135,7 @@
     valid: () => true,
     suits: () => false,
   });
-  // One summary, and no newer one: all ten are idle in it for good.
+  // The only summary, never updated: it lists all ten machines as idle.
   summaries.offer(0, {
     use: {},
     demand: [],
@@ -149,13 +153,14 @@
   fleet.start();
   await clock.run(30_000);
   fleet.stop();
-  // Each look used to find the same surplus again, until no machine was left.
+  // Guards against counting machines already returned as surplus again in each step, until no
+  // machine was left.
   assert.equal(returned.length, 6, returned.join());
 });
 
-// ---- what is off costs nothing ---------------------------------------------------------------
+// ---- optional packages are not loaded --------------------------------------------------------
 
-test("start-up: nothing of an optional package is in what a controller loads", async () => {
+test("start-up: a controller loads no code of optional packages", async () => {
   const { metafile } = await build({
     entryPoints: ["src/main.ts"],
     bundle: true,
@@ -186,7 +191,7 @@
   );
 });
 
-test("report: one file, without anything from elsewhere, with names made harmless", () => {
+test("report: one file without external references, with names escaped", () => {
   const zones = { a: { free: 20, reserve: 8, demand: 4, sold: 6, guests: 2 } };
   const html = reportHtml({
     title: "A <market>",
@@ -226,7 +231,7 @@
   assert.match(html, /A &lt;market&gt;/);
   assert.match(html, /&lt;g&gt;<\/td><td>a<\/td><td>3<\/td>.*<td>180000<\/td><td>2.50<\/td>/);
   assert.equal(html.match(/<svg/g)?.length, 5);
-  // Namespaces are names, nothing is fetched by them.
+  // XML namespaces are allowed: nothing is fetched by them.
   const links = [...html.matchAll(/(?:href|src)="([^"#][^"]*)"|url\(([^)#]+)\)/g)];
   assert.deepEqual(links, []);
   assert.doesNotMatch(html, /<script|@import/);
--- a/test/market-world.test.ts
+++ b/test/market-world.test.ts
@@ -13,13 +13,13 @@
 import { FakeState, FakeStore } from "./support/store.js";
 
 const operators = await operatorsOf(MARKET);
-const on = (): Operators => operators;
+const withMarket = (): Operators => operators;
 const WORK = { team: "red", tasks: 20, cpus: 2, runMs: 8000 };
 
-/** A market with idle machines: own work has brought them, and has gone. */
-async function opened(
+/** A market with idle machines, left over from a finished job of an own team, and with one bid. */
+async function openMarket(
   seed = 2,
-  given: (n: number) => Partial<Operators> = on,
+  given: (n: number) => Partial<Operators> = withMarket,
 ): Promise<MarketWorld> {
   const market = new MarketWorld(given, { seed });
   await market.world.clock.run(20_000);
@@ -29,9 +29,14 @@
   return market;
 }
 
-async function until(market: MarketWorld, what: () => boolean, ms = 240_000): Promise<void> {
-  for (let waited = 0; waited < ms && !what(); waited += 100) await market.world.clock.run(100);
-  assert.ok(what(), "it did not happen");
+async function waitUntil(
+  market: MarketWorld,
+  condition: () => boolean,
+  ms = 240_000,
+): Promise<void> {
+  for (let waited = 0; waited < ms && !condition(); waited += 100)
+    await market.world.clock.run(100);
+  assert.ok(condition(), "the awaited condition did not occur in time");
 }
 
 const rowOf = (market: MarketWorld, key: string): unknown =>
@@ -41,8 +46,8 @@
 const leader = (market: MarketWorld): number =>
   Number((rowOf(market, "w/lead") as { node: string } | undefined)?.node.slice(1) ?? -1);
 
-/** Ends the market of a world: no bids any more, all grants over and charged. */
-async function closed(market: MarketWorld): Promise<void> {
+/** Withdraws all bids, waits until all grants have ended and are charged, and checks the accounts. */
+async function closeMarketAndCheck(market: MarketWorld): Promise<void> {
   const { world } = market;
   for (const [key, { value }] of [...world.state.rows]) {
     if (!key.startsWith("w/m/b/")) continue;
@@ -55,31 +60,31 @@
   assert.deepEqual(world.violations, []);
 }
 
-test("market: a guest's job runs on what it has won, and every grant is charged once", async () => {
-  const market = await opened();
+test("market: a guest's job runs on its grants, and every grant is charged once", async () => {
+  const market = await openMarket();
   const { world } = market;
   const again = await market.answer("POST", "/market/bids", {
     ...market.bidOf("first"),
     latest:
       (market.world.state.rows.get("w/m/b/visitor/first")!.value as { until: number }).until / 1000,
   });
-  assert.equal(again.status, 200, "a repeated bid is the same bid");
+  assert.equal(again.status, 200, "a repeated bid is accepted as the same bid");
   const other = await market.answer("POST", "/market/bids", market.bidOf("first", { slots: 9 }));
   assert.equal(other.status, 422);
   world.submit("wk-guest", { team: "visitor", tasks: 8, cpus: 2, runMs: 5000 });
-  await until(market, () => world.jobs.get("wk-guest")!.toldDone);
-  await closed(market);
+  await waitUntil(market, () => world.jobs.get("wk-guest")!.toldDone);
+  await closeMarketAndCheck(market);
   assert.ok(market.charges().length > 0);
 });
 
-test("market: two bids at the same price in one instant, and no room for both", async () => {
-  const market = await opened();
+test("market: two bids at the same price in one round, with capacity for only one, are drawn", async () => {
+  const market = await openMarket();
   const { world } = market;
   const both = ["visitor", "institute"].map((guest) =>
     world.ask(0, "POST", "/market/bids", market.bidOf("same", { guest, slots: 12 }) as object),
   );
   void Promise.all(both);
-  await until(market, () => [...world.state.rows.keys()].some((key) => key.startsWith("m/t/")));
+  await waitUntil(market, () => [...world.state.rows.keys()].some((key) => key.startsWith("m/t/")));
   const ties = [...world.state.rows].filter(([key]) => key.startsWith("m/t/"));
   const { tickets } = ties[0]![1].value as {
     tickets: { bid: string; stamp: number; salt: string }[];
@@ -87,19 +92,19 @@
   assert.ok(tickets.length >= 2);
   for (const { bid, salt } of tickets)
     assert.equal((rowOf(market, `w/m/b/${bid}`) as { salt: string }).salt, salt);
-  await closed(market);
+  await closeMarketAndCheck(market);
 });
 
-test("market: the leader dies between clearing and telling, and its transactions apply late", async () => {
+test("market: the leader crashes between clearing and granting, and its transactions apply late", async () => {
   for (const seed of [1, 2, 3]) {
-    const market = await opened(seed);
+    const market = await openMarket(seed);
     const { world } = market;
     for (let n = 0; n < 3; n++) {
       void market.bid(`more-${n}`, { price: 1 + n });
-      await until(market, () => phase(market) === "cleared" || phase(market) === "closed");
+      await waitUntil(market, () => phase(market) === "cleared" || phase(market) === "closed");
       const old = leader(market);
       if (old < 0) continue;
-      // What it sends now is answered to nobody, and half of it is applied some seconds later.
+      // Its requests from now on get no answer, and half of them are applied some seconds later.
       world.stores[old]!.loss = 1;
       await world.clock.run(700);
       world.crash(old);
@@ -107,29 +112,29 @@
       world.stores[old]!.loss = 0;
     }
     assert.notEqual(market.grants.size, 0);
-    await closed(market);
+    await closeMarketAndCheck(market);
   }
 });
 
-test("market: two that believe they lead", async () => {
-  const market = await opened();
+test("market: two controllers both believe to be the leader", async () => {
+  const market = await openMarket();
   const { world } = market;
   for (let n = 0; n < 4; n++) {
-    await until(market, () => leader(market) >= 0);
+    await waitUntil(market, () => leader(market) >= 0);
     const old = leader(market);
-    // It is refused by the state service alone, until somebody else leads; then it is back.
+    // Only the state service refuses it, until another controller leads; then it is reachable again.
     world.stores[old]!.refused = true;
-    await until(market, () => leader(market) !== old, 60_000);
+    await waitUntil(market, () => leader(market) !== old, 60_000);
     world.stores[old]!.refused = false;
     void market.bid(`more-${n}`, { guest: n % 2 === 0 ? "visitor" : "institute" });
     await world.clock.run(25_000);
   }
-  await closed(market);
+  await closeMarketAndCheck(market);
   assert.ok(market.charges().length > 1);
 });
 
-test("market: an owner is lost with guests' tasks on its machines", async () => {
-  const market = await opened();
+test("market: part owners crash while guests' tasks run on their machines", async () => {
+  const market = await openMarket();
   const { world } = market;
   world.submit("wk-guest", { team: "visitor", tasks: 30, cpus: 2, runMs: 9000 });
   const busy = (): boolean =>
@@ -138,66 +143,67 @@
         (t) => t.piece.startsWith("wk-guest") && t.state === "running",
       ),
     );
-  await until(market, busy);
+  await waitUntil(market, busy);
   for (let n = 0; n < 3; n++) world.crash(n, 4000 + 1000 * n);
-  await until(market, () => world.jobs.get("wk-guest")!.toldDone, 400_000);
-  await closed(market);
+  await waitUntil(market, () => world.jobs.get("wk-guest")!.toldDone, 400_000);
+  await closeMarketAndCheck(market);
 });
 
 for (const [name, cut] of [
-  ["the state service is down over a grant's end", false],
-  ["an owner is cut off from all others while grants run out", true],
+  ["the state service is down when a grant ends", false],
+  ["all controllers are cut off from the state service while grants end", true],
 ] as const) {
   test(`market: ${name}`, async () => {
-    const market = await opened();
+    const market = await openMarket();
     const { world } = market;
-    // Tasks that would run for ever, and do not save.
+    // Tasks that run longer than the test and do not save.
     world.submit("wk-guest", { team: "visitor", tasks: 12, cpus: 2, runMs: 3_600_000 });
     const running = (): number => market.running("wk-guest");
-    await until(market, () => running() > 0);
+    await waitUntil(market, () => running() > 0);
     const end = Math.max(...[...market.grants.values()].map((grant) => grant.until));
     const left = end - world.clock.wall();
-    // Before guests begin to be stopped, so that nobody is sure of a claim by then.
+    // Cut 11 s before the end: no controller is sure of its claims when guests' tasks must be stopped.
     if (left > 11_000) await world.clock.run(left - 11_000);
     assert.ok(running() > 0);
     if (cut) for (const store of world.stores) store.cut = true;
     else world.state.setOutage(true);
     await world.clock.run(Math.min(left, 11_000) + 1000);
-    // Owners have ended them by the clock: nobody could tell them anything.
+    // The owners have stopped the tasks by their own clocks, without any message.
     assert.equal(running(), 0);
     if (cut) for (const store of world.stores) store.cut = false;
     else world.state.setOutage(false);
     await world.clock.run(20_000);
     world.cancel("wk-guest");
-    await closed(market);
+    await closeMarketAndCheck(market);
   });
 }
 
-test("market: a withdrawn bid never wins, whatever stage its round is in", async () => {
+test("market: a withdrawn bid gets no grant, whatever phase its round is in", async () => {
   for (const stage of ["closed", "cleared"]) {
-    const market = await opened();
+    const market = await openMarket();
     const { world } = market;
     const ready = (): boolean => {
       if (phase(market) !== stage) return false;
-      // The bid is in the round: closed before it could be granted, or cleared and it has won.
+      // The bid takes part in the round: machines are there (closed), or it has won (cleared).
       const { grants } = rowOf(market, "w/m/round") as { grants: [string][] };
       return stage === "closed" ? [...world.workers.keys()].length > 3 : grants.length > 0;
     };
-    await until(market, ready);
+    await waitUntil(market, ready);
     const before = new Set(market.grants.keys());
     const told = await market.answer("POST", "/market/bids/visitor/first/withdraw");
     assert.equal(told.status, 200);
     const had = new Set([...before, ...market.grants.keys()]);
     await world.clock.run(90_000);
-    for (const id of market.grants.keys()) assert.ok(had.has(id), `${id} was granted afterwards`);
+    for (const id of market.grants.keys())
+      assert.ok(had.has(id), `${id} was granted after the withdrawal`);
     const retried = await market.answer("GET", "/market/bids/visitor/first");
     assert.equal((retried.body as { status: string }).status, "withdrawn");
-    await closed(market);
+    await closeMarketAndCheck(market);
   }
 });
 
-test("market: ten thousand bids in a burst are for that guest alone, and own jobs do not notice", async () => {
-  const market = await opened();
+test("market: a burst of 10,000 bids of one guest delays neither other guests nor own jobs", async () => {
+  const market = await openMarket();
   const { world } = market;
   const counts = new Map<number, number>();
   for (let n = 0; n < 10_000; n++) {
@@ -220,54 +226,54 @@
   assert.ok((counts.get(429) ?? 0) > 9800, JSON.stringify([...counts]));
   const kept = [...world.state.rows.keys()].filter((key) => key.startsWith("w/m/b/visitor/"));
   assert.ok(kept.length <= 41, `${kept.length} bids of one guest`);
-  await closed(market);
+  await closeMarketAndCheck(market);
 });
 
-test("market: a guest's job that fails for ever neither keeps others out nor own jobs waiting", async () => {
-  const market = await opened();
+test("market: a guest's job that always fails blocks neither other guests' jobs nor own jobs", async () => {
+  const market = await openMarket();
   const { world } = market;
   world.submit("wk-fails", { team: "visitor", tasks: 4, cpus: 2, runMs: 500, fails: true });
   world.submit("wk-guest", { team: "visitor", tasks: 4, cpus: 2, runMs: 4000 });
-  await until(market, () => world.jobs.get("wk-guest")!.toldDone, 400_000);
+  await waitUntil(market, () => world.jobs.get("wk-guest")!.toldDone, 400_000);
   world.submit("wk-own", { team: "red", tasks: 6, cpus: 2, runMs: 4000 });
-  await until(market, () => world.jobs.get("wk-own")!.toldDone, 60_000);
+  await waitUntil(market, () => world.jobs.get("wk-own")!.toldDone, 60_000);
   world.cancel("wk-fails");
   await world.clock.run(5000);
-  await closed(market);
+  await closeMarketAndCheck(market);
 });
 
-test("market: no change is left for it, and own jobs go on", async () => {
-  const market = await opened();
+test("market: without write budget for the market, own jobs still run", async () => {
+  const market = await openMarket();
   const { world } = market;
   for (const store of world.stores) store.writes.change(1, 3);
   void market.bid("late");
   world.submit("wk-own", { team: "blue", tasks: 6, cpus: 2, runMs: 4000 });
-  await until(market, () => world.jobs.get("wk-own")!.toldDone, 120_000);
+  await waitUntil(market, () => world.jobs.get("wk-own")!.toldDone, 120_000);
   for (const store of world.stores) store.writes.change(60, 60);
-  await closed(market);
+  await closeMarketAndCheck(market);
 });
 
-test("market: switched off with grants running, and on again", async () => {
-  let now: (n: number) => Partial<Operators> = on;
-  const market = await opened(1, (n) => now(n));
+test("market: disabled while grants are in use, and enabled again", async () => {
+  let now: (n: number) => Partial<Operators> = withMarket;
+  const market = await openMarket(1, (n) => now(n));
   const { world } = market;
   world.submit("wk-guest", { team: "visitor", tasks: 12, cpus: 2, runMs: 3_600_000 });
   const running = (): number => market.running("wk-guest");
-  await until(market, () => running() > 0);
+  await waitUntil(market, () => running() > 0);
   now = () => ({});
   for (let n = 0; n < 3; n++) world.crash(n, 3000);
   await world.clock.run(20_000);
-  assert.equal(running(), 0, "nobody else would ever end them");
+  assert.equal(running(), 0, "without the market, nothing else would stop these tasks");
   world.submit("wk-own", { team: "red", tasks: 6, cpus: 2, runMs: 4000 });
-  await until(market, () => world.jobs.get("wk-own")!.toldDone, 60_000);
-  now = on;
+  await waitUntil(market, () => world.jobs.get("wk-own")!.toldDone, 60_000);
+  now = withMarket;
   for (let n = 0; n < 3; n++) world.crash(n, 3000);
   await world.clock.run(20_000);
   world.cancel("wk-guest");
-  await closed(market);
+  await closeMarketAndCheck(market);
 });
 
-test("market: with a controller that has none, guests' jobs are not taken and nothing is sold", async () => {
+test("market: while one controller has no market, guests' jobs are not accepted and nothing is sold", async () => {
   let now: (n: number) => Partial<Operators> = (n) => (n === 1 ? {} : operators);
   const market = new MarketWorld((n) => now(n), {});
   const { world } = market;
@@ -278,14 +284,14 @@
   await world.clock.run(80_000);
   assert.equal(market.grants.size, 0);
   assert.ok(!world.state.rows.has("w/j/wk-guest"));
-  now = on;
+  now = withMarket;
   world.crash(1, 3000);
-  await until(market, () => world.jobs.get("wk-guest")!.toldDone, 300_000);
-  await closed(market);
+  await waitUntil(market, () => world.jobs.get("wk-guest")!.toldDone, 300_000);
+  await closeMarketAndCheck(market);
 });
 
-test("market: bids that are over leave no keys behind", async () => {
-  const market = await opened();
+test("market: expired bids leave no keys behind", async () => {
+  const market = await openMarket();
   const { world } = market;
   const counts: number[] = [];
   for (let day = 0; day < 4; day++) {
@@ -296,17 +302,17 @@
     await world.clock.run(120_000);
     counts.push([...world.state.rows.keys()].filter((key) => key.startsWith("w/m/b/")).length);
   }
-  // Only the bid that is still open, and those of the last minute.
+  // Only the bid that is still open and bids that have just expired may be left.
   assert.ok(
     counts.every((count) => count <= 2),
     counts.join(),
   );
-  await closed(market);
+  await closeMarketAndCheck(market);
 });
 
-test("market: days of faults, with bids and guests' jobs: no rule breaks, books add up", async () => {
+test("market: random faults with bids and guests' jobs: no rule is violated, accounts add up", async () => {
   for (const seed of [11, 12, 13]) {
-    const market = await opened(seed);
+    const market = await openMarket(seed);
     const { world } = market;
     const dice = new Random(seed);
     let names = 0;
@@ -359,36 +365,36 @@
       if (job.team !== "red" && job.team !== "blue" && !job.toldDone) world.cancel(job.id);
     await world.clock.run(30_000);
     assert.notEqual(market.grants.size, 0);
-    await closed(market);
+    await closeMarketAndCheck(market);
   }
 });
 
-test("market: a grant whose guest's machine is out of reach stays until its tasks are gone", async () => {
-  const market = await opened();
+test("market: a grant on an unreachable machine stays until its tasks are gone", async () => {
+  const market = await openMarket();
   const { world } = market;
   world.submit("wk-guest", { team: "visitor", tasks: 12, cpus: 2, runMs: 3_600_000 });
-  const holding = () =>
+  const workersOfGuest = () =>
     [...world.workers.values()].filter((worker) =>
       [...worker.tasks.values()].some(
         (t) => t.piece.startsWith("wk-guest") && t.state === "running",
       ),
     );
-  await until(market, () => holding().length > 0);
+  await waitUntil(market, () => workersOfGuest().length > 0);
   const end = Math.max(...[...market.grants.values()].map((grant) => grant.until));
   const left = end - world.clock.wall();
   if (left > 8000) await world.clock.run(left - 8000);
-  const [far] = holding();
-  // It hears of no stop, and goes on until its lease ends: some seconds after the grant.
-  far!.cut = true;
+  const [unreachable] = workersOfGuest();
+  // The worker does not receive the stop and runs until its lease ends, seconds after the grant.
+  unreachable!.cut = true;
   await world.clock.run(9500);
-  assert.ok(far!.tasks.size > 0 && world.clock.wall() > end);
+  assert.ok(unreachable!.tasks.size > 0 && world.clock.wall() > end);
   await world.clock.run(15_000);
-  far!.cut = false;
+  unreachable!.cut = false;
   world.cancel("wk-guest");
-  await closed(market);
+  await closeMarketAndCheck(market);
 });
 
-test("market: who has lost the leader's claim writes nothing of it", async () => {
+test("market: a leader that has lost its claim writes nothing", async () => {
   const clock = new FakeClock();
   const state = new FakeState(clock, LIMITS);
   const store = new FakeStore(state, clock, new Random(1), LIMITS, 500);
@@ -419,8 +425,8 @@
   });
   await clock.run(30_000);
   const before = state.rows.get("w/m/round")?.version ?? 0;
-  assert.ok(before > 0, "as long as it leads, it holds rounds");
-  // Another one has taken the claim, and this one does not know.
+  assert.ok(before > 0, "the leader holds rounds");
+  // Another controller has taken the claim, and this leader does not know.
   state.transact([], [{ put: "w/lead", value: { node: "n1", run: "q" } }]);
   await clock.run(60_000);
   led.stop();
@@ -428,11 +434,11 @@
   mirror.stop();
 });
 
-test("market: nothing of a guest runs in the bulletin's hours, and nothing is cut short for them", async () => {
+test("market: no guest's task runs in reserved hours, and no grant is cut short for them", async () => {
   // The world begins at 22:13:20 UTC.
   const hours = 'hours { name: "bulletin" starts: "17 22 * * *" lasts_s: 60 time_zone: "UTC" }';
   const kept = await operatorsOf(MARKET.replace("growth: 1", `growth: 1\n  ${hours}`));
-  const market = await opened(1, () => kept);
+  const market = await openMarket(1, () => kept);
   const { world } = market;
   world.submit("wk-guest", { team: "visitor", tasks: 400, cpus: 2, runMs: 4000 });
   const running = (): number => market.running("wk-guest");
@@ -447,10 +453,10 @@
   assert.equal(most, 0);
   const ends = [...market.grants.values()].map(({ until }) => until);
   assert.ok(ends.every((end) => end <= start));
-  // Grants sold before run to their ends: giving back looked as far ahead as selling, a minute, and
-  // ended them as soon as the hours came into sight.
+  // Grants sold before the hours run to their end. When reclaiming looked as far ahead as selling,
+  // one minute, it cut them short as soon as the hours were within a minute.
   assert.ok(Math.max(...ends) > start - 45_000, `${start - Math.max(...ends)} ms before`);
-  await until(market, () => running() > 0, 90_000);
+  await waitUntil(market, () => running() > 0, 90_000);
   world.cancel("wk-guest");
-  await closed(market);
+  await closeMarketAndCheck(market);
 });
--- a/test/market.test.ts
+++ b/test/market.test.ts
@@ -3,14 +3,14 @@
 import { test } from "node:test";
 import fc from "fast-check";
 import { plan } from "../src/cloud/plan.js";
-import { Accounts, charged, chargeOf } from "../src/market/accounts.js";
+import { Accounts, addCharge, chargeOf } from "../src/market/accounts.js";
 import { type Hours, windowsIn } from "../src/market/calendar.js";
-import { type Asking, type ClearingInput, clear, sizeOf } from "../src/market/clearing.js";
-import { draw } from "../src/market/draw.js";
-import { Demand } from "../src/market/forecast.js";
-import { compareRatios, costOf, microOf, unitsOf } from "../src/market/money.js";
+import { excludeUnusedGrants, planZone, selectGrantsToCut } from "../src/market/capacity-plan.js";
+import { type Asking, type ClearingInput, clear, slotSize } from "../src/market/clearing.js";
+import { DemandForecast } from "../src/market/demand-forecast.js";
+import { compareRatios, costOf, formatMicro, toMicro } from "../src/market/money.js";
 import { type Account, emptyAccount, type Grant, parseBid } from "../src/market/records.js";
-import { grantsToCut, planZone, withoutUnused } from "../src/market/reserve.js";
+import { tieBreakOrder } from "../src/market/tie-break.js";
 import { leaving } from "../src/part/allowances.js";
 import { SettingsError } from "../src/settings/settings.js";
 import { Mirror } from "../src/state/mirror.js";
@@ -57,12 +57,12 @@
 
 const clearings: { name: string; given: Partial<ClearingInput>; want: object }[] = [
   {
-    name: "all fit: the operator's least price, and both zones get half",
+    name: "all bids fit: the price is the operator's minimum, and each zone gets half",
     given: { bids: [asking("x", { want: 6 })], leastMicro: 100_000 },
     want: { slots: { x: 6 }, price: 200_000, zones: { a: 3, b: 3 } },
   },
   {
-    name: "the price is that of the highest bid that found no room",
+    name: "the price is that of the highest bid that lacked capacity",
     given: {
       bids: [
         asking("x", { want: 12, most: 900_000 }),
@@ -73,22 +73,22 @@
     want: { slots: { x: 12, y: 4, z: 0 }, price: 500_000, zones: { a: 8, b: 8 } },
   },
   {
-    name: "below the least price nothing is sold, whatever room there is",
+    name: "nothing is sold below the minimum price, whatever capacity is free",
     given: { bids: [asking("x", { most: 100 })], leastMicro: 100_000 },
     want: { slots: { x: 0 }, price: null, zones: {} },
   },
   {
-    name: "a zone that sells nothing leaves the whole to the other",
+    name: "when one zone sells nothing, all slots go to the other",
     given: { bids: [asking("x", { want: 6 })], sellable: new Map([["b", 16]]) },
     want: { slots: { x: 6 }, price: 0, zones: { b: 6 } },
   },
   {
-    name: "a slot larger than what is free on one machine is not there",
+    name: "a slot larger than the free resources of any single machine is not sold",
     given: { bids: [asking("x", { slot: { cpus: 9, gpus: 0, memGb: 0 } })] },
     want: { slots: { x: 0 }, price: null, zones: {} },
   },
   {
-    name: "who may owe no more gets no more, and does not set the price",
+    name: "a guest out of credit gets no more slots and does not set the price",
     given: {
       bids: [asking("x", { want: 6, most: 6_000_000 })],
       guests: new Map([["g", { cpus: 1000, gpus: 0, credit: 2_100_000 }]]),
@@ -96,7 +96,7 @@
     want: { slots: { x: 2 }, price: 0, zones: { a: 1, b: 1 } },
   },
   {
-    name: "a large slot pays for its size",
+    name: "a large slot is priced by its size",
     given: {
       bids: [
         asking("x", { slot: { cpus: 4, gpus: 0, memGb: 4 }, most: 4_000_000, want: 8 }),
@@ -106,7 +106,7 @@
     want: { slots: { x: 8, y: 0 }, price: 3_800_000, zones: { a: 4, b: 4 } },
   },
   {
-    name: "memory counts where a slot takes more of it than of cores",
+    name: "a slot with a larger share of memory than of cores is priced by memory",
     given: {
       bids: [asking("x", { slot: { cpus: 1, gpus: 0, memGb: 16 }, want: 9 })],
       leastMicro: 100_000,
@@ -114,7 +114,7 @@
     want: { slots: { x: 8 }, price: 1_000_000, zones: { a: 4, b: 4 } },
   },
   {
-    name: "slots for one zone only leave the other to those that may be anywhere",
+    name: "slots of a bid without a zone go to the zone that a restricted bid leaves free",
     given: {
       bids: [asking("x", { want: 4, most: 900_000 }), asking("y", { want: 4, zone: "a" })],
     },
@@ -132,7 +132,7 @@
   });
 }
 
-const arbitrary = fc.record({
+const arbitraryInput = fc.record({
   bids: fc
     .array(
       fc.record({
@@ -166,8 +166,8 @@
   b: fc.integer({ min: 0, max: 40 }),
   leastMicro: fc.constantFrom(0, 200_000),
 });
-type Given = typeof arbitrary extends fc.Arbitrary<infer T> ? T : never;
-const inputOf = ({ bids, rooms, a, b, leastMicro }: Given): ClearingInput =>
+type ArbitraryInput = typeof arbitraryInput extends fc.Arbitrary<infer T> ? T : never;
+const inputOf = ({ bids, rooms, a, b, leastMicro }: ArbitraryInput): ClearingInput =>
   input({
     bids,
     rooms: rooms.map((room) => ({ ...room, part: room.zone === "a" ? 0 : 1 + (room.part % 2) })),
@@ -182,9 +182,9 @@
     leastMicro,
   });
 
-test("clearing: the order in which bids are given does not matter", () => {
+test("clearing: the result does not depend on the order of the bids", () => {
   fc.assert(
-    fc.property(arbitrary, fc.integer({ min: 1, max: 13 }), (given, turn) => {
+    fc.property(arbitraryInput, fc.integer({ min: 1, max: 13 }), (given, turn) => {
       const one = inputOf(given);
       const other = {
         ...one,
@@ -197,15 +197,15 @@
   );
 });
 
-test("clearing: never more than there is, nor than a guest may use or owe", () => {
+test("clearing: sells no more than the free capacity, and no more than a guest may use or owe", () => {
   fc.assert(
-    fc.property(arbitrary, (given) => {
+    fc.property(arbitraryInput, (given) => {
       const full = inputOf(given);
       const { sold } = clear(full);
       for (const [zone, most] of full.sellable) {
         const cores = sold
           .filter((one) => one.zone === zone)
-          .reduce((sum, { slot, slots }) => sum + (slots * sizeOf(slot, WORTH)) / 1000, 0);
+          .reduce((sum, { slot, slots }) => sum + (slots * slotSize(slot, WORTH)) / 1000, 0);
         assert.ok(cores <= most + 1e-6);
       }
       for (const part of [0, 1, 2]) {
@@ -227,9 +227,9 @@
   );
 });
 
-test("clearing: nobody pays above the bid, or wins below a losing bid for the same thing", () => {
+test("clearing: no bid pays more than its maximum, or wins below a losing bid for equal slots", () => {
   fc.assert(
-    fc.property(arbitrary, (given) => {
+    fc.property(arbitraryInput, (given) => {
       const full = inputOf(given);
       const result = clear(full);
       const same = (a: Asking, b: Asking): boolean =>
@@ -238,8 +238,8 @@
       for (const { bid, micro, slot } of result.sold) {
         const own = full.bids.find((one) => one.bid === bid)!;
         assert.ok(micro <= own.most);
-        assert.ok(micro >= (full.leastMicro * sizeOf(slot, WORTH)) / 1000 - 1);
-        // Uniform: the same thing costs the same.
+        assert.ok(micro >= (full.leastMicro * slotSize(slot, WORTH)) / 1000 - 1);
+        // The price is uniform: slots of the same shape cost the same.
         const shape = JSON.stringify(slot);
         assert.equal(price.get(shape) ?? micro, micro);
         price.set(shape, micro);
@@ -253,7 +253,7 @@
   );
 });
 
-test("clearing: no zone holds more than half, rounded up, while another has room", () => {
+test("clearing: no zone holds more than half of the slots, rounded up, while another has capacity", () => {
   fc.assert(
     fc.property(
       fc.integer({ min: 1, max: 16 }),
@@ -267,7 +267,7 @@
           .filter(({ zone }) => zone === "a")
           .reduce((sum, one) => sum + one.slots, 0);
         const all = sold.reduce((sum, one) => sum + one.slots, 0);
-        // Eight slots fit each zone; what may only be in one of them cannot be moved.
+        // Eight slots fit each zone; slots restricted to a zone cannot be moved.
         if (all - inA < 8) assert.ok(inA <= Math.max(Math.ceil(all / 2), pinned));
         if (inA < 8) assert.ok(all - inA <= Math.ceil(all / 2));
       },
@@ -276,9 +276,9 @@
   );
 });
 
-// ---- the draw -------------------------------------------------------------------------------
+// ---- tie-break draw -------------------------------------------------------------------------
 
-test("draw: of two bids at the same price in one instant each wins as often, and anyone can tell", () => {
+test("draw: two bids at the same price win equally often, and the stored entries reproduce the draw", () => {
   let first = 0;
   for (let n = 0; n < 2000; n++) {
     const bids = [
@@ -289,7 +289,7 @@
     const x = slotsOf(result, "g/x");
     assert.equal(x + slotsOf(result, "g/y"), 16);
     if (x === 16) first++;
-    // What is kept of the round is enough to draw again, with nothing of ours but the hash.
+    // The stored entries of the draw are enough to repeat it here independently.
     const sorted = [...result.tied].sort((a, b) => (a.bid < b.bid ? -1 : 1));
     const sha = (text: string): string => createHash("sha256").update(text).digest("hex");
     const seed = sha(JSON.stringify([60_000 * n, ...sorted.map((t) => [t.bid, t.stamp, t.salt])]));
@@ -300,11 +300,11 @@
   assert.ok(first > 900 && first < 1100, `${first} of 2000`);
 });
 
-test("draw: a stamp or a salt that nobody could know changes it", () => {
+test("draw: the order depends on the stamps and salts, which bidders cannot know", () => {
   const winners = (change: (n: number) => Partial<Asking>): Set<string> => {
     const found = new Set<string>();
     for (let n = 0; n < 40; n++) {
-      found.add(draw(1, [asking("a/x", change(n)), asking("b/y")])[0]!);
+      found.add(tieBreakOrder(1, [asking("a/x", change(n)), asking("b/y")])[0]!);
     }
     return found;
   };
@@ -313,10 +313,10 @@
   assert.equal(winners(() => ({})).size, 1);
 });
 
-// ---- the calendar ---------------------------------------------------------------------------
+// ---- calendar -------------------------------------------------------------------------------
 
 const at = (text: string): number => Date.parse(text);
-const bulletin: Hours = {
+const nightHours: Hours = {
   name: "bulletin",
   starts: "30 22 * * *",
   ends: "30 1 * * *",
@@ -326,25 +326,30 @@
 const calendarCases = [
   { name: "an ordinary night", day: "2024-06-03T12:00Z", from: "2024-06-04T02:30Z", h: 3 },
   {
-    name: "a night with the hour twice",
+    name: "a night with a repeated hour",
     day: "2024-04-06T12:00Z",
     from: "2024-04-07T01:30Z",
     h: 4,
   },
-  { name: "a night without an hour", day: "2024-09-07T12:00Z", from: "2024-09-08T02:30Z", h: 2 },
+  {
+    name: "a night with a skipped hour",
+    day: "2024-09-07T12:00Z",
+    from: "2024-09-08T02:30Z",
+    h: 2,
+  },
 ];
 for (const { name, day, from, h } of calendarCases) {
-  test(`calendar: ${name} ends when the clock on the wall says so`, () => {
-    const [window] = windowsIn([bulletin], at(day), at(day) + 86_400_000);
+  test(`calendar: the window of ${name} ends at its local time`, () => {
+    const [window] = windowsIn([nightHours], at(day), at(day) + 86_400_000);
     assert.equal(new Date(window!.from).toISOString(), new Date(at(from)).toISOString());
     assert.equal((window!.until - window!.from) / 3_600_000, h);
-    // Also found by whoever looks while it lasts, and not afterwards.
-    assert.equal(windowsIn([bulletin], window!.until - 1, window!.until).length, 1);
-    assert.equal(windowsIn([bulletin], window!.until, window!.until + 1).length, 0);
+    // The window is also found by a query that starts while it lasts, and not by one afterwards.
+    assert.equal(windowsIn([nightHours], window!.until - 1, window!.until).length, 1);
+    assert.equal(windowsIn([nightHours], window!.until, window!.until + 1).length, 0);
   });
 }
-test("calendar: hours that last a time do so whatever the clocks do", () => {
-  const fixed: Hours = { ...bulletin, ends: null, lastsMs: 10_800_000 };
+test("calendar: hours with a fixed length keep it across clock changes", () => {
+  const fixed: Hours = { ...nightHours, ends: null, lastsMs: 10_800_000 };
   for (const { day } of calendarCases) {
     const [window] = windowsIn([fixed], at(day), at(day) + 86_400_000);
     assert.equal(window!.until - window!.from, 10_800_000);
@@ -355,20 +360,24 @@
 
 const GUEST = 'guest { name: "v" most { cpus: 4 } }';
 const badSettings = [
-  { name: "no guest", text: "market {\n}", says: /^market:1: market: it has no guest/ },
+  { name: "no guest", text: "market {\n}", says: /^market:1: market: no guest is configured/ },
   {
     name: "an unknown field",
     text: `market {\n ${GUEST}\n evry_s: 5 }`,
     says: /^market:3: .*evry_s/,
   },
-  { name: "a name twice", text: `market { ${GUEST}\n${GUEST} }`, says: /guest v is there twice/ },
   {
-    name: "a name for no key",
+    name: "a duplicate name",
+    text: `market { ${GUEST}\n${GUEST} }`,
+    says: /guest v is listed twice/,
+  },
+  {
+    name: "a name that cannot be part of a key",
     text: 'market { guest { name: "a/b" } }',
     says: /^market:1: guest "a\/b"/,
   },
   {
-    name: "no allowance",
+    name: "a guest that may use nothing",
     text: 'market {\nguest { name: "v" } }',
     says: /^market:2: guest v: most/,
   },
@@ -388,9 +397,9 @@
     says: /^market:3: term_s: 9/,
   },
   {
-    name: "a zone of time that nobody knows",
+    name: "an unknown time zone",
     text: `market { ${GUEST}\nhours { name: "h" starts: "0 4 * * *" lasts_s: 60\ntime_zone: "America/Santigo" } }`,
-    says: /^market:3: hours h: no time zone is called America\/Santigo/,
+    says: /^market:3: hours h: unknown time zone America\/Santigo/,
   },
   {
     name: "a rule that never fires",
@@ -403,12 +412,12 @@
     says: /^market:2: .*five fields/,
   },
   {
-    name: "hours without an end",
+    name: "hours without end or length",
     text: `market { ${GUEST}\nhours { name: "h" starts: "0 4 * * *" } }`,
-    says: /^market:2: hours h: give ends or lasts_s/,
+    says: /^market:2: hours h: either ends or lasts_s is required/,
   },
   {
-    name: "hours in a zone that the platform lacks",
+    name: "hours in an unknown zone of the platform",
     text: `market { ${GUEST}\nhours { name: "h" starts: "0 4 * * *" lasts_s: 5 zone: "z" } }`,
     says: /^market:2: hours h: the platform has no zone z/,
   },
@@ -422,7 +431,7 @@
   });
 }
 
-test("operators' files merge as messages do, and only what is named is loaded", async () => {
+test("operators' files: merged like protobuf messages, and only the packages named in them are loaded", async () => {
   const none = await operatorsOf('# market { }\nteam { name: "red" weight: 2 }');
   assert.deepEqual(none.extensions, []);
   const { extensions, tuning } = await operatorsOf(`market { ${GUEST} }\nrental { headroom: 2 }`);
@@ -443,9 +452,9 @@
   latest: NOW / 1000 + 600,
 };
 const badBids: { name: string; bid: unknown; says: RegExp }[] = [
-  { name: "no map", bid: [1], says: /not a map/ },
+  { name: "no map", bid: [1], says: /must be a map/ },
   { name: "no id", bid: { ...goodBid, id: undefined }, says: /^id: / },
-  { name: "an id for no path", bid: { ...goodBid, id: "a/b" }, says: /^id: / },
+  { name: "an id that cannot be part of a path", bid: { ...goodBid, id: "a/b" }, says: /^id: / },
   { name: "no slots", bid: { ...goodBid, slots: 0 }, says: /^slots: / },
   { name: "half a slot", bid: { ...goodBid, slots: 1.5 }, says: /^slots: / },
   { name: "an absurd number of slots", bid: { ...goodBid, slots: 1e9 }, says: /^slots: / },
@@ -453,12 +462,12 @@
   { name: "a price of zero", bid: { ...goodBid, price: 0 }, says: /^price: / },
   { name: "a price of seven decimals", bid: { ...goodBid, price: 1e-7 }, says: /^price: .*six/ },
   {
-    name: "a sum that no account could hold",
+    name: "a cost too large for an account",
     bid: { ...goodBid, price: 1e6, slots: 1e5 },
     says: /^price: .*slots/,
   },
   { name: "negative cores", bid: { ...goodBid, cores: -2 }, says: /^cores: / },
-  { name: "a slot of nothing", bid: { ...goodBid, cores: 0 }, says: /^cores: / },
+  { name: "a slot without resources", bid: { ...goodBid, cores: 0 }, says: /^cores: / },
   {
     name: "a window in the past",
     bid: { ...goodBid, latest: NOW / 1000 - 1 },
@@ -471,7 +480,7 @@
     says: /^latest/,
   },
   { name: "a length beyond the window", bid: { ...goodBid, leastS: 601 }, says: /^leastS: / },
-  { name: "a field that is not there", bid: { ...goodBid, prize: 1 }, says: /prize/ },
+  { name: "an unknown field", bid: { ...goodBid, prize: 1 }, says: /prize/ },
 ];
 for (const { name, bid, says } of badBids) {
   test(`bid: ${name} is refused with the field`, () => {
@@ -491,7 +500,7 @@
 
 // ---- money ----------------------------------------------------------------------------------
 
-test("money: ratios compare exactly where plain numbers cannot tell them apart", () => {
+test("money: ratios compare exactly where floating-point numbers cannot distinguish them", () => {
   assert.equal(compareRatios(1, 3, 2, 6), 0);
   assert.equal(compareRatios(2 ** 52 + 1, 2 ** 52, 2 ** 52, 2 ** 52 - 1), -1);
   const above = fc.integer({ min: 1, max: Number.MAX_SAFE_INTEGER });
@@ -533,70 +542,70 @@
   test(`charge: ${name}`, () => {
     const charge = chargeOf(grant(more));
     assert.deepEqual([charge.slotMs, charge.micro], [slotMs, micro]);
-    const account = charged(charged(emptyAccount(), charge), charge);
+    const account = addCharge(addCharge(emptyAccount(), charge), charge);
     assert.deepEqual([account.owed, account.slotMs, account.grants], [2 * micro, 2 * slotMs, 2]);
   });
 }
-test("money: text and micro-units", () => {
-  assert.deepEqual([0, 1, 1_000_000, 1_234_500, -2_000_001].map(unitsOf), [
+test("money: formats micro-units as text, and converts amounts to micro-units", () => {
+  assert.deepEqual([0, 1, 1_000_000, 1_234_500, -2_000_001].map(formatMicro), [
     "0.00",
     "0.000001",
     "1.00",
     "1.2345",
     "-2.000001",
   ]);
-  assert.deepEqual([0.1, 1e-6, 1e-7, -1, Number.NaN].map(microOf), [100_000, 1, null, null, null]);
+  assert.deepEqual([0.1, 1e-6, 1e-7, -1, Number.NaN].map(toMicro), [100_000, 1, null, null, null]);
 });
 
-// ---- the reserve ----------------------------------------------------------------------------
+// ---- capacity plan --------------------------------------------------------------------------
 
-const view = { zone: "a", free: 20, own: 10, waiting: 0, guests: 4 };
+const zoneView = { zone: "a", free: 20, own: 10, waiting: 0, guests: 4 };
 const night = { name: "n", from: 0, until: 1, zone: null, keepCpus: 25 };
 const plans = [
   {
-    name: "a forecast below the use keeps nothing",
+    name: "a forecast below the current use reserves nothing",
     unused: 0,
     forecast: 8,
     windows: [],
     want: [20, 0, 0],
   },
   {
-    name: "what the forecast adds is kept",
+    name: "the forecast beyond the current use is reserved",
     unused: 0,
     forecast: 18,
     windows: [],
     want: [12, 0, 0],
   },
   {
-    name: "what is sold and not used is not sold again",
+    name: "granted capacity that is not in use is not sold again",
     unused: 6,
     forecast: 18,
     windows: [],
     want: [6, 0, 0],
   },
   {
-    name: "a forecast that no longer fits brings room back",
+    name: "a forecast beyond the free capacity causes a reclaim",
     unused: 0,
     forecast: 35,
     windows: [],
     want: [0, 5, 0],
   },
   {
-    name: "hours of the calendar keep what they say",
+    name: "calendar windows reserve their CPUs",
     unused: 0,
     forecast: 0,
     windows: [night],
     want: [5, 0, 0],
   },
   {
-    name: "hours of another zone do not count",
+    name: "calendar windows of another zone have no effect",
     unused: 0,
     forecast: 0,
     windows: [{ ...night, zone: "b" }],
     want: [20, 0, 0],
   },
   {
-    name: "hours that keep all",
+    name: "a calendar window that reserves everything",
     unused: 0,
     forecast: 0,
     windows: [{ ...night, keepCpus: Infinity }],
@@ -604,19 +613,23 @@
   },
 ];
 for (const { name, unused, forecast, windows, want } of plans) {
-  test(`reserve: ${name}`, () => {
-    const { sellable, back, now } = planZone(view, unused, forecast, windows);
+  test(`capacity plan: ${name}`, () => {
+    const {
+      sellable,
+      reclaim: back,
+      reclaimNow: now,
+    } = planZone(zoneView, unused, forecast, windows);
     assert.deepEqual([sellable, back, now], want);
   });
 }
-test("reserve: what waits and has no room is wanted at once", () => {
-  const { sellable, now } = planZone({ ...view, waiting: 30 }, 0, 0, []);
+test("capacity plan: what waiting tasks lack is reclaimed at once", () => {
+  const { sellable, reclaimNow: now } = planZone({ ...zoneView, waiting: 30 }, 0, 0, []);
   assert.deepEqual([sellable, now], [0, 10]);
-  // Room that is sold and not used yet is not there for them either, until its grant is cut.
-  assert.equal(planZone({ ...view, waiting: 30 }, 15, 0, []).now, 25);
+  // Granted capacity that is not in use yet is not available to them until the grant is cut short.
+  assert.equal(planZone({ ...zoneView, waiting: 30 }, 15, 0, []).reclaimNow, 25);
 });
 
-test("giving back: unused room first, then the cheapest, then the youngest", () => {
+test("cutting grants: unused ones first, then the cheapest, then the newest", () => {
   const grants = [
     grant({ id: "dear", micro: 9, slots: 1 }),
     grant({ id: "cheap", micro: 5, slots: 1, from: 10 }),
@@ -624,7 +637,7 @@
     grant({ id: "idle", micro: 99, slots: 2, guest: "w" }),
   ];
   const use = (guest: string): number => (guest === "w" ? 0 : 6);
-  const cut = (cpus: number): string[] => grantsToCut(grants, cpus, use).map(({ id }) => id);
+  const cut = (cpus: number): string[] => selectGrantsToCut(grants, cpus, use).map(({ id }) => id);
   assert.deepEqual(cut(0), []);
   assert.deepEqual(cut(3), ["idle"]);
   assert.deepEqual(cut(5), ["young", "idle"]);
@@ -632,17 +645,17 @@
   assert.deepEqual(cut(Number.POSITIVE_INFINITY).length, 4);
 });
 
-test("room that is sold and not used yet is taken out of what a summary says is free", () => {
+test("free capacity: granted capacity that is not in use is excluded", () => {
   const rooms = [{ zone: "a", part: 0, cpus: 4, gpus: 0, memGb: 16, count: 2 }];
   const left = (used: number): number =>
-    withoutUnused(rooms, [grant()], () => used).reduce(
+    excludeUnusedGrants(rooms, [grant()], () => used).reduce(
       (sum, { cpus, count }) => sum + cpus * count,
       0,
     );
   assert.deepEqual([left(0), left(2), left(4), left(6)], [2, 4, 6, 8]);
 });
 
-test("allowance: who must go loses the least, and who saves already goes first at the end", () => {
+test("allowance: stops tasks with the least loss, and at the end first those that save already", () => {
   const one = (task: string, lossMs: number, stopping: number | null = null) => ({
     live: { task } as never,
     cpus: 2,
@@ -659,10 +672,10 @@
   assert.deepEqual(names(0, true), ["c", "b", "a"]);
 });
 
-// ---- the forecast ---------------------------------------------------------------------------
+// ---- demand forecast ------------------------------------------------------------------------
 
-test("forecast: by hour once there is enough of it, else by what was seen lately; kept as text", () => {
-  const demand = new Demand("UTC", 600_000);
+test("forecast: by hour with enough samples, otherwise by the recent peak; can be saved and loaded", () => {
+  const demand = new DemandForecast("UTC", 600_000);
   const noon = Date.UTC(2024, 5, 1, 12, 10);
   for (let n = 0; n < 100; n++) demand.sample("a", n === 50 ? 80 : 20, noon + n * 1000);
   const early = demand.forecast("a", noon + 100_000, noon + 200_000, 0.99, 1.5);
@@ -672,18 +685,19 @@
   const at9999 = demand.forecast("a", noon + 1_500_000, noon + 1_600_000, 0.9999, 1.5);
   assert.equal(at99, 20);
   assert.equal(at9999, 80);
-  // The next leader reads what this one has written, and knows as much.
-  const next = new Demand("UTC", 600_000);
-  for (const { zone, hour, packed } of demand.changed()) assert.ok(next.load(zone, hour, packed));
+  // A new leader that loads the saved histograms gives the same forecast.
+  const next = new DemandForecast("UTC", 600_000);
+  for (const { zone, hour, packed } of demand.takeChanged())
+    assert.ok(next.load(zone, hour, packed));
   assert.equal(next.forecast("a", noon, noon + 1, 0.9999, 1), 80);
   assert.equal(next.load("a", 3, "rubbish"), false);
-  // Another hour of which nothing is known counts as well when a grant would last into it.
+  // An hour without samples counts as well if the interval extends into it.
   assert.equal(next.forecast("a", noon, noon + 3_600_000, 0.99, 1), 20);
 });
 
 // ---- accounts --------------------------------------------------------------------------------
 
-test("accounts: charges fill pages, old pages fold into sums, and nothing is lost or counted twice", async () => {
+test("accounts: charges fill pages, old pages are folded into sums, no charge is lost or counted twice", async () => {
   const clock = new FakeClock();
   const limits = { ...LIMITS, valueBytes: 1024 };
   const state = new FakeState(clock, limits);
@@ -699,17 +713,17 @@
       const key = `w/m/g/${one.id}`;
       state.transact([], [{ put: key, value: one }]);
       const version = state.rows.get(key)!.version;
-      // Every third answer is lost, and half of those requests are applied late; and now and then
-      // there is another leader, which knows nothing.
+      // Every third answer is lost, and half of those requests are applied late. Every 50 grants a
+      // new leader starts without cached accounts.
       store.loss = n % 3 === 0 ? 1 : 0;
       for (let tries = 0; state.rows.has(key); tries++) {
         assert.ok(tries < 200);
-        await accounts.close(one, version, []).catch(() => undefined);
+        await accounts.closeGrant(one, version, []).catch(() => undefined);
         if (tries > 0) store.loss = 0;
       }
       store.loss = 0;
       if (n % 50 === 0) accounts = new Accounts(core);
-      await accounts.fold("v").catch(() => false);
+      await accounts.foldOldestPage("v").catch(() => false);
     }
   };
   let over = false;
@@ -730,7 +744,7 @@
   );
 });
 
-test("renting for guests: only what is paid for, and only beyond the own need", () => {
+test("renting for guests: only machines whose price per core the bid pays", () => {
   const type = {
     name: "m",
     cpus: 4,
@@ -756,7 +770,7 @@
   assert.equal(rented(0.25), "spot 1,ordinary 1");
 });
 
-test("accounts: a payment noted between reading and charging is not lost", async () => {
+test("accounts: a payment recorded between reading the account and charging is not lost", async () => {
   const clock = new FakeClock();
   const state = new FakeState(clock, LIMITS);
   const store = new FakeStore(state, clock, new Random(1), LIMITS, 500);
@@ -768,11 +782,11 @@
   const version = state.rows.get(key)!.version;
   const run = async (): Promise<unknown[]> => {
     await leader.read("v");
-    const settled = await other.settle("v", "p-1", 500);
-    const twice = await other.settle("v", "p-1", 500);
-    const stale = await leader.close(grant(), version, []);
-    const fresh = await leader.close(grant(), version, []);
-    const again = await leader.close(grant(), version, []);
+    const settled = await other.recordPayment("v", "p-1", 500);
+    const twice = await other.recordPayment("v", "p-1", 500);
+    const stale = await leader.closeGrant(grant(), version, []);
+    const fresh = await leader.closeGrant(grant(), version, []);
+    const again = await leader.closeGrant(grant(), version, []);
     return [settled?.owed, twice?.owed, stale, fresh, again];
   };
   let got: unknown[] | null = null;
--- a/test/support/market.ts
+++ b/test/support/market.ts
@@ -26,7 +26,7 @@
 export const operatorsOf = (text: string, teams = TEAMS, nodes = 3): Promise<Operators> =>
   parseOperators([{ file: "market", text }], settingsFor(0, nodes, teams, ZONES));
 
-interface Stored {
+interface StoredGrant {
   guest: string;
   part: number;
   slots: number;
@@ -36,12 +36,12 @@
   micro: number;
 }
 
-/** A world with a market: what guests do, and what must hold of grants and charges in every step. */
+/** A simulated platform with a market: guests' requests, and checks of grants and charges every 100 ms. */
 export class MarketWorld {
   readonly world: World;
   readonly wrong: string[] = [];
-  /** Every grant ever seen in the store, with the last state of it. */
-  readonly grants = new Map<string, Stored>();
+  /** Every grant ever seen in the store, with its last value. */
+  readonly grants = new Map<string, StoredGrant>();
   #revision = 0;
 
   constructor(
@@ -49,7 +49,7 @@
     { seed = 1, capacity = 14, teams = TEAMS, nodes = 3 } = {},
   ) {
     this.world = new World(seed, nodes, teams, capacity, {}, ZONES, operators, 60);
-    this.#check();
+    this.#checkGrants();
   }
 
   get now(): number {
@@ -73,7 +73,7 @@
     };
   }
 
-  /** Asks controllers one after another until one gives an answer that is final. */
+  /** Sends the request to the controllers in turn until one gives a final answer (not 5xx or 429). */
   async ask(method: string, path: string, body?: object, tries = 40): Promise<Answer | null> {
     let last: Answer | null = null;
     for (let n = 0; n < tries; n++) {
@@ -84,7 +84,7 @@
     return last;
   }
 
-  async #run<T>(asked: Promise<T>, ms = 30_000): Promise<T> {
+  async #runUntilSettled<T>(asked: Promise<T>, ms = 30_000): Promise<T> {
     let found: { value: T } | null = null;
     void asked.then((value) => {
       found = { value };
@@ -92,26 +92,26 @@
     for (let waited = 0; waited < ms && found === null; waited += 100) {
       await this.world.clock.run(100);
     }
-    if (found === null) throw new Error("no answer");
+    if (found === null) throw new Error("no answer in simulated time");
     return (found as { value: T }).value;
   }
 
-  /** Tasks of a job that are on machines, whatever they do there. */
+  /** Tasks of a job that are on machines and have not ended. */
   running(job: string): number {
     return [...this.world.workers.values()]
       .flatMap((worker) => [...worker.tasks.values()])
       .filter(({ piece, state }) => piece.startsWith(`${job}/`) && state !== "ended").length;
   }
 
-  /** Lets time pass until there is an answer. */
+  /** Sends the request and runs the clock until there is an answer. */
   async answer(method: string, path: string, body?: object): Promise<Answer> {
-    const answer = await this.#run(this.ask(method, path, body), 60_000);
+    const answer = await this.#runUntilSettled(this.ask(method, path, body), 60_000);
     if (answer === null) throw new Error(`${method} ${path}: no answer`);
     return answer;
   }
 
-  /** Follows the store's changes: grants, and what guests use against them. */
-  #check(): void {
+  /** Checks that no grant is ever extended and that no guest uses more than it was granted. */
+  #checkGrants(): void {
     const { world } = this;
     for (const { key, value, version, deleted } of world.state.log) {
       if (version <= this.#revision) continue;
@@ -119,7 +119,7 @@
       const id = key.slice(6);
       if (deleted) continue;
       const known = this.grants.get(id);
-      const grant = value as Stored;
+      const grant = value as StoredGrant;
       if (known !== undefined && grant.until > known.until) this.wrong.push(`${id} grew`);
       this.grants.set(id, grant);
     }
@@ -127,7 +127,7 @@
     const allowed = new Map<string, number>();
     for (const [key, { value }] of world.state.rows) {
       if (!key.startsWith("w/m/g/")) continue;
-      const { guest, slots, slot } = value as Stored;
+      const { guest, slots, slot } = value as StoredGrant;
       allowed.set(guest, (allowed.get(guest) ?? 0) + slots * slot.cpus);
     }
     const use = new Map<string, number>();
@@ -143,17 +143,20 @@
         this.wrong.push(`${guest} uses ${cpus} at ${world.clock.now()}`);
       }
     }
-    world.clock.after(100, () => this.#check());
+    world.clock.after(100, () => this.#checkGrants());
   }
 
-  /** Charges in the store, all pages of all guests. */
+  /** All charges in the store, of all pages of all guests. */
   charges(): { grant: string; micro: number; slotMs: number; cut: string | null }[] {
     return [...this.world.state.rows]
       .filter(([key]) => key.startsWith("m/c/"))
       .flatMap(([, { value }]) => value as ReturnType<MarketWorld["charges"]>);
   }
 
-  /** What must hold once all grants are over: one charge for each, and accounts that add up. */
+  /**
+   * Errors found so far, plus those of the final accounting: exactly one correct charge per ended
+   * grant, none for others, and accounts that equal the sum of their charges.
+   */
   books(): string[] {
     const found = [...this.wrong];
     const seen = new Map<string, number>();
