--- a/src/diagnose/text-output.ts
+++ b/src/diagnose/text-output.ts
@@ -6,7 +6,7 @@
     resolvedBy: "submitting it; a finished job may be in the archive",
     responsible: "its user",
   },
-  over: { resolvedBy: "nothing to resolve: the job has finished", responsible: "nobody" },
+  over: { resolvedBy: "nothing: the job has finished", responsible: "nobody" },
   "not known": {
     resolvedBy: "querying more controllers, or querying again later",
     responsible: "whoever runs this command",
@@ -75,7 +75,7 @@
   },
   "no room": { resolvedBy: "tasks that end, or newly rented machines", responsible: "nobody" },
   "about to start": { resolvedBy: "the next placement pass and its commit", responsible: "nobody" },
-  running: { resolvedBy: "nothing to resolve: the job is running", responsible: "nobody" },
+  running: { resolvedBy: "nothing: the job is running", responsible: "nobody" },
 };
 
 export function formatObstacle({ kind, part, tasks, sinceS, detail }: Obstacle): string {
--- a/src/market/commands.ts
+++ b/src/market/commands.ts
@@ -47,7 +47,7 @@
   try {
     return JSON.parse(text);
   } catch (error) {
-    throw new RequestRefused(`${file}: ${(error as Error).message}`);
+    throw new RequestRefused(`bid file ${file} is not valid JSON: ${(error as Error).message}`);
   }
 }
 
--- a/test/market-world.test.ts
+++ b/test/market-world.test.ts
@@ -16,7 +16,7 @@
 const withMarket = (): Operators => operators;
 const WORK = { team: "red", tasks: 20, cpus: 2, runMs: 8000 };
 
-/** A market with idle machines, left over from a finished job of an own team, and with one bid. */
+/** A market with one bid. A short job of an own team has machines rented, which are idle after it. */
 async function openMarket(
   seed = 2,
   given: (n: number) => Partial<Operators> = withMarket,
@@ -56,7 +56,7 @@
   }
   await world.clock.run(130_000);
   world.stop();
-  assert.deepEqual(market.books(), []);
+  assert.deepEqual(market.accountingErrors(), []);
   assert.deepEqual(world.violations, []);
 }
 
--- a/test/support/market.ts
+++ b/test/support/market.ts
@@ -120,7 +120,8 @@
       if (deleted) continue;
       const known = this.grants.get(id);
       const grant = value as StoredGrant;
-      if (known !== undefined && grant.until > known.until) this.wrong.push(`${id} grew`);
+      if (known !== undefined && grant.until > known.until)
+        this.wrong.push(`grant ${id} was extended`);
       this.grants.set(id, grant);
     }
     this.#revision = world.state.revision;
@@ -157,7 +158,7 @@
    * Errors found so far, plus those of the final accounting: exactly one correct charge per ended
    * grant, none for others, and accounts that equal the sum of their charges.
    */
-  books(): string[] {
+  accountingErrors(): string[] {
     const found = [...this.wrong];
     const seen = new Map<string, number>();
     for (const { grant, micro, slotMs } of this.charges()) {
