--- a/src/diagnose/obstacles.ts
+++ b/src/diagnose/obstacles.ts
@@ -3,7 +3,9 @@
 /** What one controller answers when it is queried about one job, or about all stuck jobs. */
 export interface ControllerView {
   node: string;
-  /** Seconds since this controller was last known to have seen every change of the state service. */
+  /**
+   * Seconds since this controller was last known to have seen every change of the state service.
+   */
   contactS: number;
   /** Whether its own claims are certainly still valid. */
   valid: boolean;
@@ -15,7 +17,10 @@
   /** The job's header as this controller sees it; null if it has none, or no job was queried. */
   job: { status: string; parts: (number | null)[]; tasks: number } | null;
   parts: PartInspection[];
-  /** Machine rental as the leader sees it: machines of the cloud's list by state; null: not the leader. */
+  /**
+   * Machine rental as the leader sees it: machines of the cloud's list by state; null: not the
+   * leader.
+   */
   rental: { booting: number; overdue: number; reachable: boolean } | null;
 }
 
--- a/src/diagnose/stuck-job-watch.ts
+++ b/src/diagnose/stuck-job-watch.ts
@@ -20,7 +20,9 @@
 
   constructor(
     readonly core: Core,
-    /** How long a job within a guarantee may make no progress before it is reported, milliseconds. */
+    /**
+     * How long a job within a guarantee may make no progress before it is reported, milliseconds.
+     */
     readonly stuckMs: number,
   ) {}
 
--- a/src/market/calendar.ts
+++ b/src/market/calendar.ts
@@ -6,7 +6,10 @@
   name: string;
   /** Cron rule of five fields for their start, in `timeZone`. */
   starts: string;
-  /** Cron rule for their end: local time, so the window grows or shrinks by an hour at clock changes. */
+  /**
+   * Cron rule for their end: local time, so the window grows or shrinks by an hour at clock
+   * changes.
+   */
   ends?: string | null;
   /** Or a fixed length, unaffected by clock changes. */
   lastsMs?: number | null;
--- a/src/market/capacity-plan.ts
+++ b/src/market/capacity-plan.ts
@@ -23,7 +23,9 @@
   reclaimNow: number;
 }
 
-/** By zone, CPUs granted and not in use by their guest: they are free, but must not be sold again. */
+/**
+ * By zone, CPUs granted and not in use by their guest: they are free, but must not be sold again.
+ */
 export function unusedGrantedCpus(
   grants: Iterable<Grant>,
   usedCpus: (guest: string, part: number) => number,
@@ -57,7 +59,8 @@
     if (window.zone === null || window.zone === zone)
       reserve = Math.max(reserve, window.keepCpus - own);
   }
-  // Waiting tasks get free capacity first. They still wait as it was missing, or not enough, when the
+  // Waiting tasks get free capacity first. They still wait as it was missing, or not enough, when
+  // the
   // summary was made.
   const available = free - unused - waiting;
   const reclaim = Math.max(0, reserve - available);
--- a/src/market/clearing.ts
+++ b/src/market/clearing.ts
@@ -53,9 +53,13 @@
   sold: SoldSlots[];
   /** Price of a core-hour as a fraction, micro-units; null when nothing is sold. */
   price: [number, number] | null;
-  /** Bids that did not get all their slots for lack of capacity, and bids below the minimum price. */
+  /**
+   * Bids that did not get all their slots for lack of capacity, and bids below the minimum price.
+   */
   lost: string[];
-  /** Bids at the price of the last winner, if some of them lost: the entries of the tie-break draw. */
+  /**
+   * Bids at the price of the last winner, if some of them lost: the entries of the tie-break draw.
+   */
   tied: DrawEntry[];
 }
 
@@ -70,7 +74,9 @@
   size: number;
 }
 
-/** Machines with equal free resources. A machine moves to another class when a slot is placed on it. */
+/**
+ * Machines with equal free resources. A machine moves to another class when a slot is placed on it.
+ */
 interface CapacityClass extends Slot {
   key: string;
   zone: string;
@@ -88,7 +94,10 @@
 /** Free capacity of one zone, from which slots are taken. */
 class ZoneCapacity {
   readonly #classes = new Map<string, CapacityClass>();
-  /** By shape, the class that took the last slot: searching all classes per slot took most of the time. */
+  /**
+   * By shape, the class that took the last slot: searching all classes per slot took most of the
+   * time.
+   */
   readonly #lastUsedByShape = new Map<string, CapacityClass>();
 
   constructor(rooms: readonly SpareRoom[], zone: string) {
--- a/src/market/demand-forecast.ts
+++ b/src/market/demand-forecast.ts
@@ -11,7 +11,9 @@
 const newHistogram = (): Histogram =>
   hdr.build({ bitBucketSize: 32, autoResize: true, numberOfSignificantValueDigits: 2 });
 
-/** Records the CPU demand of the platform's own teams by zone and hour of the day, and forecasts it. */
+/**
+ * Records the CPU demand of the platform's own teams by zone and hour of the day, and forecasts it.
+ */
 export class DemandForecast {
   readonly #histograms = new Map<string, Histogram>();
   /** By zone, the recent samples that no later sample has reached; the first is the highest. */
@@ -44,9 +46,9 @@
   }
 
   /**
-   * The CPUs that the own teams need in a zone between two times: the maximum over the hours touched of
-   * the given quantile of an hour's samples. For an hour with too few samples it is `recentPeakFactor`
-   * times the highest recent sample.
+   * The CPUs that the own teams need in a zone between two times: the maximum, over the hours
+   * touched, of the given quantile of an hour's samples. For an hour with too few samples it is
+   * `recentPeakFactor` times the highest recent sample.
    */
   forecast(
     zone: string,
@@ -81,7 +83,10 @@
     return all;
   }
 
-  /** Loads a histogram that an earlier leader saved. An unreadable one is ignored; returns false then. */
+  /**
+   * Loads a histogram that an earlier leader saved. An unreadable one is ignored; returns false
+   * then.
+   */
   load(zone: string, hour: number, packed: string): boolean {
     try {
       this.#histograms.set(`${zone}/${hour}`, hdr.decodeFromCompressedBase64(packed));
@@ -92,7 +97,9 @@
   }
 }
 
-/** The histogram with halved counts, so that demand of long ago weighs less than that of last week. */
+/**
+ * The histogram with halved counts, so that demand of long ago weighs less than that of last week.
+ */
 function withHalvedCounts(old: Histogram): Histogram {
   const next = newHistogram();
   for (let percentile = 0.5; percentile < 100; percentile += 1) {
--- a/src/market/grant-termination.ts
+++ b/src/market/grant-termination.ts
@@ -10,7 +10,10 @@
   #slowestReleaseMs = 0;
   /** By grant that was cut short and is not released yet: when it was cut. */
   readonly #cutAt = new Map<string, number>();
-  /** By ended grant, the position of the part's summary at that time; only later ones show its release. */
+  /**
+   * By ended grant, the position of the part's summary at that time; only later ones show its
+   * release.
+   */
   readonly #summaryAtEnd = new Map<string, number>();
 
   constructor(readonly context: LeaderContext) {}
@@ -34,7 +37,8 @@
     wall: number,
   ): Promise<void> {
     const { saveMs } = this.context.settings;
-    // The free capacity of a part without a summary is not known, so its zone is skipped; the part's
+    // The free capacity of a part without a summary is not known, so its zone is skipped; the
+    // part's
     // owner stops guests' tasks for the own teams without this.
     const zonesWithUnknownParts = new Set(
       cluster.unknownParts.map((part) => this.context.core.layout.home(part).zone),
@@ -105,7 +109,9 @@
     log.info({ grant: value.id, guest: value.guest, cut }, "grant cut short");
   }
 
-  /** Charges for ended grants once their resources are released; until then they count as in use. */
+  /**
+   * Charges for ended grants once their resources are released; until then they count as in use.
+   */
   async closeEnded(cluster: ClusterCapacity, wall: number): Promise<void> {
     const slackMs = 2 * this.context.core.settings.params.clock_error_ms;
     for (const { value, version } of [...this.context.marketState.grants.values()]) {
--- a/src/market/index.ts
+++ b/src/market/index.ts
@@ -1,6 +1,6 @@
 /**
- * A market for spare capacity: guests bid for idle machines without ever delaying the platform's own
- * teams. Enabled by the message `market` in the operators' settings (`deploy/market.textproto`);
+ * A market for spare capacity: guests bid for idle machines, the platform's own teams never wait
+ * for them. Enabled by the message `market` in the operators' settings (`deploy/market.textproto`);
  * `docs/market.md` describes how it works and why its rules hold.
  */
 import {
--- a/src/market/leader.ts
+++ b/src/market/leader.ts
@@ -64,7 +64,8 @@
         if (this.term.valid()) await this.#step();
         this.#storeReachable = true;
       } catch (error) {
-        // Writes without an answer may still be applied: the next step decides again from the store.
+        // Writes without an answer may still be applied: the next step decides again from the
+        // store.
         if (this.#storeReachable) log.warn({ why: String(error) }, "market step failed, retrying");
         this.#storeReachable = false;
       }
@@ -79,7 +80,8 @@
     for (const { zone, own, waiting } of cluster.zones.values()) {
       this.#demand.sample(zone, own + waiting, wall);
     }
-    // Grants are sold only if the forecast for their whole length leaves room for them. So only what
+    // Grants are sold only if the forecast for their whole length leaves room for them. So only
+    // what
     // the own teams need by the time that guests have saved has to be reclaimed now, not what they
     // may need over the length of a new grant.
     const nearPlans = this.#planZones(cluster, wall, this.settings.saveMs + this.#stepIntervalMs);
@@ -104,7 +106,9 @@
     return (this.core.settings.params.workers.report_s * 1000) / STEPS_PER_REPORT;
   }
 
-  /** By zone, what the own teams may need within `aheadMs` from now, and what may be sold for it. */
+  /**
+   * By zone, what the own teams may need within `aheadMs` from now, and what may be sold for it.
+   */
   #planZones(cluster: ClusterCapacity, wall: number, aheadMs: number): Map<string, ZonePlan> {
     const { demandQuantile, recentPeakFactor } = this.settings;
     const until = wall + aheadMs;
--- a/src/market/market-state.ts
+++ b/src/market/market-state.ts
@@ -177,7 +177,9 @@
     return requests;
   }
 
-  /** The lowest price of a core, micro-units, among a guest's grants in a part; 0 without grants. */
+  /**
+   * The lowest price of a core, micro-units, among a guest's grants in a part; 0 without grants.
+   */
   preemptionValue(team: string, part: number): number {
     let lowest = Number.POSITIVE_INFINITY;
     for (const id of this.#grantIdsByGuestAndPart.get(`${team}/${part}`) ?? []) {
--- a/src/market/records.ts
+++ b/src/market/records.ts
@@ -26,9 +26,13 @@
   least: number;
   /** When a controller accepted it. */
   at: number;
-  /** Random, chosen by that controller, so that nobody can predict the result of a tie-break draw. */
+  /**
+   * Random, chosen by that controller, so that nobody can predict the result of a tie-break draw.
+   */
   salt: string;
-  /** When it was withdrawn. The record is kept until `until`, so that the bid cannot be made again. */
+  /**
+   * When it was withdrawn. The record is kept until `until`, so that the bid cannot be made again.
+   */
   withdrawn?: number;
 }
 
@@ -172,8 +176,8 @@
 
 /**
  * A bid as a guest sends it: `{id, guest, cores, accelerators, memGb, slots, zone, price, earliest,
- * latest, leastS}`. `price` is for a slot-hour, with at most six decimals; `earliest` and `latest` are
- * in seconds since the epoch; `leastS` is in seconds. The reason for a rejection names the field.
+ * latest, leastS}`. `price` is for a slot-hour, with at most six decimals; `earliest` and `latest`
+ * are in seconds since the epoch; `leastS` is in seconds. The reason for a rejection names the field.
  */
 export function parseBid(body: unknown, now: number): Parsed<Omit<Bid, "salt">> {
   const invalid = (reason: string): Parsed<never> => ({ ok: false, reason });
--- a/src/market/rounds.ts
+++ b/src/market/rounds.ts
@@ -178,7 +178,10 @@
     log.info({ instant, bids: bids.length, grants: next.grants.length }, "round cleared");
   }
 
-  /** Entries of a tie-break draw, stored so that anyone can repeat it; as many as fit one transaction. */
+  /**
+   * Entries of a tie-break draw, stored so that anyone can repeat it; as many as fit one
+   * transaction.
+   */
   #tieRecords(instant: number, { tied }: ClearingResult): Change[] {
     const slot = this.#ringSlot(instant);
     const pages: Change[] = [];
--- a/src/market/settings.ts
+++ b/src/market/settings.ts
@@ -63,7 +63,10 @@
   minPriceMicro: number;
   /** The quantile of recorded demand that the reserve has to cover, below 1. */
   demandQuantile: number;
-  /** Used where too little demand is recorded: the forecast is this many times the highest recent demand. */
+  /**
+   * Used where too little demand is recorded: the forecast is this many times the highest recent
+   * demand.
+   */
   recentPeakFactor: number;
   /** Time zone of the hours of the day by which demand is recorded. */
   timeZone: string;
--- a/src/market/zones.ts
+++ b/src/market/zones.ts
@@ -2,7 +2,9 @@
 import type { ZoneView } from "./capacity-plan.js";
 import type { SpareRoom } from "./clearing.js";
 
-/** Capacity of all zones from the parts' summaries, with guests and own teams counted separately. */
+/**
+ * Capacity of all zones from the parts' summaries, with guests and own teams counted separately.
+ */
 export interface ClusterCapacity {
   zones: Map<string, ZoneView>;
   rooms: SpareRoom[];
--- a/test/guests.test.ts
+++ b/test/guests.test.ts
@@ -19,7 +19,10 @@
 
 const cpus = (n: number) => ({ cpus: n, gpus: 0 });
 
-/** A share tree with 100 CPUs guaranteed to `own` and none to `guests`, using `own` and `guests` CPUs. */
+/**
+ * A share tree with 100 CPUs guaranteed to `own` and none to `guests`, using `own` and `guests`
+ * CPUs.
+ */
 function treeWithUse(own: number, guests: number): ShareTree {
   const tree = new ShareTree([
     { name: ROOT, parent: null, weight: 1, nominal: cpus(100) },
--- a/test/market-world.test.ts
+++ b/test/market-world.test.ts
@@ -16,7 +16,9 @@
 const withMarket = (): Operators => operators;
 const WORK = { team: "red", tasks: 20, cpus: 2, runMs: 8000 };
 
-/** A market with one bid. A short job of an own team has machines rented, which are idle after it. */
+/**
+ * A market with one bid. A short job of an own team has machines rented, which are idle after it.
+ */
 async function openMarket(
   seed = 2,
   given: (n: number) => Partial<Operators> = withMarket,
@@ -46,7 +48,9 @@
 const leader = (market: MarketWorld): number =>
   Number((rowOf(market, "w/lead") as { node: string } | undefined)?.node.slice(1) ?? -1);
 
-/** Withdraws all bids, waits until all grants have ended and are charged, and checks the accounts. */
+/**
+ * Withdraws all bids, waits until all grants have ended and are charged, and checks the accounts.
+ */
 async function closeMarketAndCheck(market: MarketWorld): Promise<void> {
   const { world } = market;
   for (const [key, { value }] of [...world.state.rows]) {
@@ -122,7 +126,8 @@
   for (let n = 0; n < 4; n++) {
     await waitUntil(market, () => leader(market) >= 0);
     const old = leader(market);
-    // Only the state service refuses it, until another controller leads; then it is reachable again.
+    // Only the state service refuses it, until another controller leads; then it is reachable
+    // again.
     world.stores[old]!.refused = true;
     await waitUntil(market, () => leader(market) !== old, 60_000);
     world.stores[old]!.refused = false;
@@ -162,7 +167,8 @@
     await waitUntil(market, () => running() > 0);
     const end = Math.max(...[...market.grants.values()].map((grant) => grant.until));
     const left = end - world.clock.wall();
-    // Cut 11 s before the end: no controller is sure of its claims when guests' tasks must be stopped.
+    // Cut 11 s before the end: no controller is sure of its claims when guests' tasks must be
+    // stopped.
     if (left > 11_000) await world.clock.run(left - 11_000);
     assert.ok(running() > 0);
     if (cut) for (const store of world.stores) store.cut = true;
--- a/test/support/market.ts
+++ b/test/support/market.ts
@@ -36,7 +36,10 @@
   micro: number;
 }
 
-/** A simulated platform with a market: guests' requests, and checks of grants and charges every 100 ms. */
+/**
+ * A simulated platform with a market: guests' requests, and checks of grants and charges every 100
+ * ms.
+ */
 export class MarketWorld {
   readonly world: World;
   readonly wrong: string[] = [];
@@ -73,7 +76,9 @@
     };
   }
 
-  /** Sends the request to the controllers in turn until one gives a final answer (not 5xx or 429). */
+  /**
+   * Sends the request to the controllers in turn until one gives a final answer (not 5xx or 429).
+   */
   async ask(method: string, path: string, body?: object, tries = 40): Promise<Answer | null> {
     let last: Answer | null = null;
     for (let n = 0; n < tries; n++) {
