--- a/src/state/schema.ts
+++ b/src/state/schema.ts
@@ -41,6 +41,6 @@
 /** Why this program cannot read the store, or null. */
 export function schemaIncompatibility({ version }: Schema): string | null {
   if (Number.isInteger(version) && version >= 1 && version <= KNOWN_SCHEMA) return null;
-  const shown = Number.isNaN(version) ? "not a number" : String(version);
-  return `the schema version of the state service is ${shown}; this program supports up to ${KNOWN_SCHEMA}`;
+  const shown = Number.isNaN(version) ? "that cannot be read" : String(version);
+  return `the state service holds records of schema ${shown}; this program knows up to ${KNOWN_SCHEMA}`;
 }
