--- a/src/classad/ad.ts
+++ b/src/classad/ad.ts
@@ -1,20 +1,23 @@
 import { type Entry, literal, type Node } from "./ast.js";
 import { ClassAdError } from "./errors.js";
+import type { Frame } from "./evaluation.js";
 import { defaultLimits, type Limits } from "./limits.js";
 import { parseExpression, parseRecord } from "./parser.js";
 import { print, printEntries, printName } from "./print.js";
-import type { Frame } from "./run.js";
 import type { Value } from "./values.js";
 
 export interface Attribute {
   readonly name: string;
   readonly key: string;
   readonly node: Node;
-  /** Compiled at its first use. */
-  code: ((frame: Frame) => Value) | null;
+  /** The compiled expression; null until the attribute is first evaluated. */
+  compiled: ((frame: Frame) => Value) | null;
 }
 
-/** Names with expressions. Names are found whatever their case, and keep the one they came with. */
+/**
+ * A map from attribute names to expressions. Look-ups ignore case; names keep the case they were
+ * set with.
+ */
 export class Ad {
   readonly #attributes = new Map<string, Attribute>();
 
@@ -28,8 +31,8 @@
   }
 
   /**
-   * The form with one `Name = expression` a line, as `condor_q -long` prints it. Lines that are
-   * empty or begin with `#` are skipped.
+   * Parses one `Name = expression` per line, as `condor_q -long` prints it. Empty lines and lines
+   * that begin with `#` are skipped.
    * @throws ClassAdError
    */
   static parseLines(text: string, limits: Limits = defaultLimits): Ad {
@@ -52,6 +55,7 @@
     return this.#attributes.size;
   }
 
+  /** @param key the attribute's name in lower case */
   get(key: string): Attribute | undefined {
     return this.#attributes.get(key);
   }
@@ -62,7 +66,7 @@
 
   set(name: string, node: Node): this {
     const key = name.toLowerCase();
-    this.#attributes.set(key, { name, key, node, code: null });
+    this.#attributes.set(key, { name, key, node, compiled: null });
     return this;
   }
 
@@ -78,12 +82,12 @@
     return this.#attributes.values();
   }
 
-  /** Text that parses to the same ad, on one line. */
+  /** The ad on one line; parsing the text gives the same ad. */
   toString(): string {
     return printEntries([...this.#attributes.values()]);
   }
 
-  /** One `Name = expression` a line, by name. */
+  /** One `Name = expression` per line, sorted by name. */
   toLines(): string {
     return [...this.#attributes.values()]
       .sort((a, b) => (a.key < b.key ? -1 : 1))
--- a/src/classad/ast.ts
+++ b/src/classad/ast.ts
@@ -1,23 +1,26 @@
 import type { Value } from "./values.js";
 
-/** Where an attribute is looked up: anywhere, in one of the two ads, or from the outermost ad. */
-export type Where = "any" | "my" | "target" | "root";
+/**
+ * Where an attribute is looked up: in all scopes, in one of the two ads, or in the outermost ad
+ * round the expression.
+ */
+export type Scope = "any" | "my" | "target" | "root";
 
-interface Base {
-  /** Levels of nodes below and with this one. */
+interface NodeBase {
+  /** Height of the tree, this node included. */
   readonly depth: number;
 }
 
 /**
- * An expression. Operators that associate to the left and bind alike are one `chain`, so that a
- * thousand clauses joined by `||` are one level deep and not a thousand.
+ * An expression tree. Consecutive left-associative operators of the same precedence form one
+ * `chain` node, so that a thousand clauses joined by `||` are one level deep and not a thousand.
  */
-export type Node = Base &
+export type Node = NodeBase &
   (
     | { readonly kind: "literal"; readonly value: Value }
     | {
         readonly kind: "attribute";
-        readonly where: Where;
+        readonly where: Scope;
         readonly name: string;
         readonly key: string;
       }
@@ -47,7 +50,7 @@
     | { readonly kind: "subscript"; readonly base: Node; readonly index: Node }
   );
 
-export type Kind<K extends Node["kind"]> = Extract<Node, { kind: K }>;
+export type NodeOfKind<K extends Node["kind"]> = Extract<Node, { kind: K }>;
 
 export interface Entry {
   readonly name: string;
@@ -56,8 +59,8 @@
 
 export type UnaryOp = "-" | "+" | "!" | "~";
 
-/** Binary operators by level: those further down bind more tightly. All associate to the left. */
-export const LEVELS = [
+/** Binary operators from lowest to highest precedence. All associate to the left. */
+export const OPERATORS_BY_PRECEDENCE = [
   ["||"],
   ["&&"],
   ["|"],
@@ -70,21 +73,21 @@
   ["*", "/", "%"],
 ] as const;
 
-export type BinaryOp = (typeof LEVELS)[number][number];
+export type BinaryOp = (typeof OPERATORS_BY_PRECEDENCE)[number][number];
 
-export const levelOf: ReadonlyMap<string, number> = new Map(
-  LEVELS.flatMap((ops, level) => ops.map((op) => [op, level] as const)),
+export const precedenceOf: ReadonlyMap<string, number> = new Map(
+  OPERATORS_BY_PRECEDENCE.flatMap((ops, level) => ops.map((op) => [op, level] as const)),
 );
 
-const above = (...below: (Node | null)[]): number => {
-  let most = 0;
-  for (const node of below) if (node !== null && node.depth > most) most = node.depth;
-  return most + 1;
+const depthAbove = (...nodes: (Node | null)[]): number => {
+  let deepest = 0;
+  for (const node of nodes) if (node !== null && node.depth > deepest) deepest = node.depth;
+  return deepest + 1;
 };
 
 export const literal = (value: Value): Node => ({ kind: "literal", value, depth: 1 });
 
-export const attribute = (name: string, where: Where = "any"): Node => ({
+export const attribute = (name: string, where: Scope = "any"): Node => ({
   kind: "attribute",
   where,
   name,
@@ -96,25 +99,25 @@
   kind: "unary",
   op,
   operand,
-  depth: above(operand),
+  depth: depthAbove(operand),
 });
 
-/** `left op right`; joins a chain of operators that bind alike. */
+/** `left op right`; extends `left` if it is a chain of operators of the same precedence. */
 export function binary(left: Node, op: BinaryOp, right: Node): Node {
-  const level = levelOf.get(op)!;
-  const joined = left.kind === "chain" && left.level === level ? left : null;
-  const first = joined?.first ?? left;
-  const rest = [...(joined?.rest ?? []), { op, operand: right }];
+  const level = precedenceOf.get(op)!;
+  const sameLevelChain = left.kind === "chain" && left.level === level ? left : null;
+  const first = sameLevelChain?.first ?? left;
+  const rest = [...(sameLevelChain?.rest ?? []), { op, operand: right }];
   return {
     kind: "chain",
     level,
     first,
     rest,
-    depth: Math.max(joined?.depth ?? 0, above(first, right)),
+    depth: Math.max(sameLevelChain?.depth ?? 0, depthAbove(first, right)),
   };
 }
 
-/** Operands joined by operators that bind alike; at least one operator. */
+/** Operands joined by operators of the same precedence; `rest` has at least one. */
 export function chain(
   level: number,
   first: Node,
@@ -123,7 +126,7 @@
   if (first.kind === "chain" && first.level === level) {
     return chain(level, first.first, [...first.rest, ...rest]);
   }
-  let depth = above(first);
+  let depth = depthAbove(first);
   for (const { operand } of rest) depth = Math.max(depth, operand.depth + 1);
   return { kind: "chain", level, first, rest, depth };
 }
@@ -133,19 +136,19 @@
   test,
   then,
   otherwise,
-  depth: above(test, then, otherwise),
+  depth: depthAbove(test, then, otherwise),
 });
 
 export const list = (items: readonly Node[]): Node => ({
   kind: "list",
   items,
-  depth: above(...items),
+  depth: depthAbove(...items),
 });
 
-/** Of entries with one name, whatever its case, the last counts. */
+/** An ad literal. Of entries whose names differ only in case, the last is kept. */
 export function record(given: readonly Entry[]): Node {
   const entries = [...new Map(given.map((entry) => [entry.name.toLowerCase(), entry])).values()];
-  return { kind: "ad", entries, depth: above(...entries.map(({ node }) => node)) };
+  return { kind: "ad", entries, depth: depthAbove(...entries.map(({ node }) => node)) };
 }
 
 export const call = (name: string, args: readonly Node[]): Node => ({
@@ -153,7 +156,7 @@
   name,
   key: name.toLowerCase(),
   args,
-  depth: above(...args),
+  depth: depthAbove(...args),
 });
 
 export const select = (base: Node, name: string): Node => ({
@@ -161,18 +164,18 @@
   base,
   name,
   key: name.toLowerCase(),
-  depth: above(base),
+  depth: depthAbove(base),
 });
 
 export const subscript = (base: Node, index: Node): Node => ({
   kind: "subscript",
   base,
   index,
-  depth: above(base, index),
+  depth: depthAbove(base, index),
 });
 
-/** The nodes right below one. */
-export function below(node: Node): readonly Node[] {
+/** The direct children of a node. */
+export function children(node: Node): readonly Node[] {
   switch (node.kind) {
     case "literal":
     case "attribute":
--- a/src/classad/compile.ts
+++ b/src/classad/compile.ts
@@ -2,30 +2,35 @@
 import type { Node } from "./ast.js";
 import * as ast from "./ast.js";
 import {
-  adOf,
+  adOfLiteral,
   attributeValue,
-  callWith,
-  lazies,
+  checkListSize,
+  evaluateCall,
+  evaluateTree,
+  lazyFunctions,
   selectKey,
-  sized,
   subscriptValue,
-  walk,
 } from "./evaluate.js";
+import { Evaluation, type Frame, frameOf, LimitExceeded, type RunOptions } from "./evaluation.js";
 import { functions } from "./functions/index.js";
-import { applyBinary, applyUnary, shortcut } from "./operators.js";
-import { Exhausted, type Frame, frameOf, Run, type RunOptions } from "./run.js";
-import { Bound, Failure, truth, UNDEFINED, type Value } from "./values.js";
+import { applyBinary, applyUnary, shortCircuit } from "./operators.js";
+import { Failure, ScopedAd, truth, UNDEFINED, type Value } from "./values.js";
 
 export type Code = (frame: Frame) => Value;
 
-const nothing = (): Frame => frameOf(null, null, new Run(({ node }, frame) => walk(node, frame)));
+const emptyFrame = (): Frame =>
+  frameOf(null, null, new Evaluation(({ node }, frame) => evaluateTree(node, frame)));
 
-/** Values that stand for themselves in an expression; times and ads are made anew each time. */
-const scalar = (value: Value): boolean => typeof value !== "object";
+/**
+ * Whether folding may replace an expression by this value. Times, ads and lists are made anew by
+ * each evaluation, and ERROR has to keep its reason.
+ */
+const isScalar = (value: Value): boolean => typeof value !== "object";
 
 /**
- * Works out in advance what depends on no attribute, and on nothing that changes: the same value
- * for less work. What is ERROR stays as it is written, so that its text still says why.
+ * Constant folding: evaluates in advance what depends on no attribute and on nothing that changes.
+ * The value stays the same and takes less work. Subexpressions that are ERROR are not replaced, so
+ * that evaluation still gives the reason.
  */
 export function fold(node: Node): Node {
   switch (node.kind) {
@@ -34,7 +39,7 @@
     case "ad":
       return node;
     case "unary":
-      return constant(ast.unary(node.op, fold(node.operand)));
+      return foldConstant(ast.unary(node.op, fold(node.operand)));
     case "chain":
       return foldChain(node);
     case "condition": {
@@ -46,7 +51,7 @@
     case "list":
       return ast.list(node.items.map(fold));
     case "call":
-      return constant(ast.call(node.name, node.args.map(fold)));
+      return foldConstant(ast.call(node.name, node.args.map(fold)));
     case "select":
       return ast.select(fold(node.base), node.name);
     case "subscript":
@@ -54,17 +59,19 @@
   }
 }
 
-/** Constants at the head of a chain, and what an operand decides for all that follow. */
-function foldChain(node: ast.Kind<"chain">): Node {
+/**
+ * Folds the constants at the head of a chain, and operators whose left operand decides the result.
+ */
+function foldChain(node: ast.NodeOfKind<"chain">): Node {
   let head = fold(node.first);
   const rest: { op: ast.BinaryOp; operand: Node }[] = [];
   for (const { op, operand } of node.rest) {
     const right = fold(operand);
     if (rest.length === 0 && head.kind === "literal") {
-      const decided = shortcut(op, head.value);
+      const decided = shortCircuit(op, head.value);
       const value =
         decided ?? (right.kind === "literal" ? applyBinary(op, head.value, right.value) : null);
-      if (value !== null && scalar(value)) {
+      if (value !== null && isScalar(value)) {
         head = ast.literal(value);
         continue;
       }
@@ -74,39 +81,39 @@
   return rest.length === 0 ? head : ast.chain(node.level, head, rest);
 }
 
-const VARYING = new Set(["time", "random", "eval", "unparse"]);
+const NON_CONSTANT_FUNCTIONS = new Set(["time", "random", "eval", "unparse"]);
 
-function constant(node: Node): Node {
-  const parts = ast.below(node);
+function foldConstant(node: Node): Node {
+  const parts = ast.children(node);
   if (!parts.every(({ kind }) => kind === "literal")) return node;
   if (node.kind === "call") {
-    if (VARYING.has(node.key)) return node;
-    if (!functions.has(node.key) && lazies[node.key] === undefined) return node;
+    if (NON_CONSTANT_FUNCTIONS.has(node.key)) return node;
+    if (!functions.has(node.key) && lazyFunctions[node.key] === undefined) return node;
   }
-  const value = outcome(() => walk(node, nothing()));
-  return scalar(value) ? ast.literal(value) : node;
+  const value = errorIfLimitExceeded(() => evaluateTree(node, emptyFrame()));
+  return isScalar(value) ? ast.literal(value) : node;
 }
 
-/** A bound that is reached makes the whole expression ERROR. */
-function outcome(evaluate: () => Value): Value {
+/** Exceeding a limit makes the whole expression ERROR. */
+function errorIfLimitExceeded(evaluate: () => Value): Value {
   try {
     return evaluate();
   } catch (error) {
-    if (error instanceof Exhausted) return new Failure(error.message);
+    if (error instanceof LimitExceeded) return new Failure(error.message);
     throw error;
   }
 }
 
-/** Turns an expression into closures, once; the tree is not looked at again. */
+/** Compiles an expression to closures, so that evaluation does not walk the tree again. */
 export function compile(node: Node): Code {
-  const code = bare(node);
+  const code = compileUncharged(node);
   return (frame) => {
-    frame.run.spend(1);
+    frame.evaluation.chargeSteps(1);
     return code(frame);
   };
 }
 
-function bare(node: Node): Code {
+function compileUncharged(node: Node): Code {
   switch (node.kind) {
     case "literal": {
       const { value } = node;
@@ -130,21 +137,21 @@
         if (then === null) return value === UNDEFINED ? otherwise(frame) : value;
         if (value instanceof Failure || value === UNDEFINED) return value;
         const is = truth(value);
-        if (is === null) return new Failure("?: needs true or false");
+        if (is === null) return new Failure("the condition of ?: is neither true nor false");
         return is ? then(frame) : otherwise(frame);
       };
     }
     case "list": {
       const items = node.items.map(compile);
       return (frame) =>
-        sized(
+        checkListSize(
           items.map((item) => item(frame)),
           frame,
         );
     }
     case "ad": {
-      const ad = adOf(node);
-      return (frame) => new Bound(ad, frame);
+      const ad = adOfLiteral(node);
+      return (frame) => new ScopedAd(ad, frame);
     }
     case "call":
       return compileCall(node);
@@ -161,7 +168,7 @@
   }
 }
 
-function compileChain(node: ast.Kind<"chain">): Code {
+function compileChain(node: ast.NodeOfKind<"chain">): Code {
   const first = compile(node.first);
   const rest = node.rest.map(({ op, operand }) => ({ op, code: compile(operand) }));
   const only = rest[0]!;
@@ -171,23 +178,24 @@
   return (frame) => {
     let value = first(frame);
     for (const { op, code } of rest) {
-      value = shortcut(op, value) ?? applyBinary(op, value, code(frame));
+      value = shortCircuit(op, value) ?? applyBinary(op, value, code(frame));
     }
     return value;
   };
 }
 
-function compileCall(node: ast.Kind<"call">): Code {
+function compileCall(node: ast.NodeOfKind<"call">): Code {
   const args = new Map<Node, Code>(node.args.map((arg) => [arg, compile(arg)]));
   const evaluate = (arg: Node, frame: Frame): Value => args.get(arg)!(frame);
-  return (frame) => callWith(node, frame, evaluate);
+  return (frame) => evaluateCall(node, frame, evaluate);
 }
 
 export const compiledAttribute = (attribute: Attribute, frame: Frame): Value => {
-  attribute.code ??= compile(attribute.node);
-  return attribute.code(frame);
+  attribute.compiled ??= compile(attribute.node);
+  return attribute.compiled(frame);
 };
 
+/** The two ads of a match, from the side of the expression's own ad. */
 export interface Sides {
   my?: Ad | null;
   target?: Ad | null;
@@ -195,28 +203,31 @@
 
 export interface Outcome {
   value: Value;
-  /** Work done, in the units of `Limits.steps`. */
+  /** Work done, in the unit of `Limits.steps`. */
   steps: number;
 }
 
-/** The value of a compiled expression; ERROR when it costs more than the limits allow. */
+/** Evaluates a compiled expression; the value is ERROR if a limit is exceeded. */
 export function run(
   code: Code,
   { my = null, target = null }: Sides,
   options?: RunOptions,
 ): Outcome {
-  const one = new Run(compiledAttribute, options);
-  const value = outcome(() => code(frameOf(my, target, one)));
-  return { value, steps: one.steps };
+  const evaluation = new Evaluation(compiledAttribute, options);
+  const value = errorIfLimitExceeded(() => code(frameOf(my, target, evaluation)));
+  return { value, steps: evaluation.steps };
 }
 
-/** The same by walking the tree. */
+/** Same as `run`, but walks the tree: the reference implementation. */
 export function runReference(
   node: Node,
   { my = null, target = null }: Sides,
   options?: RunOptions,
 ): Outcome {
-  const one = new Run(({ node: inner }, frame) => walk(inner, frame), options);
-  const value = outcome(() => walk(node, frameOf(my, target, one)));
-  return { value, steps: one.steps };
+  const evaluation = new Evaluation(
+    ({ node: inner }, frame) => evaluateTree(inner, frame),
+    options,
+  );
+  const value = errorIfLimitExceeded(() => evaluateTree(node, frameOf(my, target, evaluation)));
+  return { value, steps: evaluation.steps };
 }
--- a/src/classad/errors.ts
+++ b/src/classad/errors.ts
@@ -1,16 +1,16 @@
-/** Text that is not of the language. Lines and columns count from 1. */
+/** A syntax error. Lines and columns count from 1. */
 export class ClassAdError extends Error {
   constructor(
     readonly reason: string,
     readonly line: number,
     readonly column: number,
-    /** What could have stood there. */
+    /** What is allowed at this position. */
     readonly expected: readonly string[] = [],
   ) {
     super(`${line}:${column}: ${reason}`);
   }
 
-  /** The same error in a text that begins at another place of a file. */
+  /** The same error for a text that begins at this line and column of a file. */
   at(line: number, column: number): ClassAdError {
     return new ClassAdError(
       this.reason,
--- a/src/classad/expression.ts
+++ b/src/classad/expression.ts
@@ -1,13 +1,13 @@
 import type { Ad } from "./ad.js";
 import type { Node } from "./ast.js";
 import { type Code, compile, fold, type Outcome, run, type Sides } from "./compile.js";
+import type { RunOptions } from "./evaluation.js";
 import { defaultLimits, type Limits } from "./limits.js";
 import { parseExpression } from "./parser.js";
 import { print } from "./print.js";
 import { type Reads, reads } from "./reads.js";
-import type { RunOptions } from "./run.js";
 
-/** An expression that is read and compiled once, and evaluated against many ads. */
+/** An expression that is parsed and compiled once, and evaluated against many ads. */
 export class Expression {
   readonly #code: Code;
 
@@ -24,7 +24,7 @@
     return run(this.#code, sides, options);
   }
 
-  /** Which attributes it reads, of its own ad and of the other. */
+  /** Which attributes of its own ad and of the other ad it reads. */
   reads(my: Ad | null = null): Reads {
     return reads(this.node, my);
   }
--- a/src/classad/functions/lists.ts
+++ b/src/classad/functions/lists.ts
@@ -1,56 +1,62 @@
 import type { BinaryOp } from "../ast.js";
+import type { Evaluation } from "../evaluation.js";
 import { applyBinary } from "../operators.js";
-import type { Run } from "../run.js";
 import {
-  Bound,
   Failure,
   identical,
   isList,
   numeric,
+  ScopedAd,
   truth,
   typeOf,
   UNDEFINED,
   type Value,
 } from "../values.js";
-import type { Fn } from "./index.js";
-import { ofText, pieces } from "./strings.js";
+import type { BuiltinFunction } from "./index.js";
+import { splitItems, stringFunction } from "./strings.js";
 
 const COMPARISONS = new Set<string>(["<", "<=", "==", "!=", ">=", ">", "=?=", "=!=", "is", "isnt"]);
 
-function items(value: Value, run: Run): readonly Value[] | Failure {
-  if (!isList(value)) return new Failure(`needs a list, not ${typeOf(value)}`);
-  run.spend(1 + value.length);
+function listItems(value: Value, evaluation: Evaluation): readonly Value[] | Failure {
+  if (!isList(value)) return new Failure(`expected a list, found ${typeOf(value)}`);
+  evaluation.chargeSteps(1 + value.length);
   return value;
 }
 
-/** Whether any, or every, item compares with a value as asked. */
-const comparing = (every: boolean): Fn => ({
+/**
+ * A function that tells whether any item, or every item, compares with a value by the given
+ * operator.
+ */
+const compareItems = (every: boolean): BuiltinFunction => ({
   min: 3,
   max: 3,
   strict: false,
-  run: ([op, list, value], run) => {
+  run: ([op, list, value], evaluation) => {
     if (typeof op !== "string" || !COMPARISONS.has(op.toLowerCase())) {
-      return new Failure("needs a comparison as text");
+      return new Failure("expected a comparison operator as a string");
     }
     if (list === UNDEFINED || list instanceof Failure) return list;
-    const all = items(list!, run);
-    if (all instanceof Failure) return all;
-    const name = op.toLowerCase();
-    const sign = name === "is" ? "=?=" : name === "isnt" ? "=!=" : (name as BinaryOp);
-    const hits = (item: Value): boolean => truth(applyBinary(sign, item, value!)) === true;
-    return every ? all.every(hits) : all.some(hits);
+    const items = listItems(list!, evaluation);
+    if (items instanceof Failure) return items;
+    const operatorName = op.toLowerCase();
+    const operator =
+      operatorName === "is" ? "=?=" : operatorName === "isnt" ? "=!=" : (operatorName as BinaryOp);
+    const matchesItem = (item: Value): boolean =>
+      truth(applyBinary(operator, item, value!)) === true;
+    return every ? items.every(matchesItem) : items.some(matchesItem);
   },
 });
 
-/** The numbers of a list; those that are UNDEFINED are left out. */
-function numbersOf(value: Value, run: Run): (bigint | number)[] | Failure {
-  const list = items(value, run);
+/** The numbers of a list; items that are UNDEFINED are left out. */
+function listNumbers(value: Value, evaluation: Evaluation): (bigint | number)[] | Failure {
+  const list = listItems(value, evaluation);
   if (list instanceof Failure) return list;
   const out: (bigint | number)[] = [];
   for (const item of list) {
     if (item === UNDEFINED) continue;
     const number = numeric(item);
-    if (number === null) return new Failure(`a list of numbers holds ${typeOf(item)}`);
+    if (number === null)
+      return new Failure(`expected a list of numbers, found an item of type ${typeOf(item)}`);
     out.push(number);
   }
   return out;
@@ -64,7 +70,7 @@
 const averageOf = (numbers: Numbers): Value =>
   numbers.length === 0 ? 0 : Number(sumOf(numbers) as bigint | number) / numbers.length;
 
-const most = (numbers: Numbers, op: "<" | ">"): Value => {
+const extreme = (numbers: Numbers, op: "<" | ">"): Value => {
   let best: Value = UNDEFINED;
   for (const number of numbers) {
     if (best === UNDEFINED || applyBinary(op, number, best) === true) best = number;
@@ -72,58 +78,65 @@
   return best;
 };
 
-const overNumbers = (body: (numbers: Numbers) => Value): Fn => ({
+const numberListFunction = (body: (numbers: Numbers) => Value): BuiltinFunction => ({
   min: 1,
   max: 1,
   strict: true,
-  run: ([list], run) => {
-    const numbers = numbersOf(list!, run);
+  run: ([list], evaluation) => {
+    const numbers = listNumbers(list!, evaluation);
     return numbers instanceof Failure ? numbers : body(numbers);
   },
 });
 
-/** A list written as text: `1, 2.5, 3`. An item with a point makes the result real. */
-const overText = (body: (numbers: Numbers) => Value): Fn =>
-  ofText(1, 2, ([text, separators]) => {
+/**
+ * A function of a list of numbers in a string, such as `1, 2.5, 3`. A real item makes the result
+ * real.
+ */
+const numberStringListFunction = (body: (numbers: Numbers) => Value): BuiltinFunction =>
+  stringFunction(1, 2, ([text, separators]) => {
     const numbers: (bigint | number)[] = [];
-    for (const piece of pieces(text!, separators)) {
+    for (const piece of splitItems(text!, separators)) {
       if (/^[+-]?\d{1,18}$/.test(piece)) numbers.push(BigInt(piece.replace(/^\+/, "")));
       else if (/^[+-]?(\d+\.?\d*|\.\d+)([eE][+-]?\d+)?$/.test(piece)) numbers.push(Number(piece));
-      else return new Failure("a list of numbers holds other text");
+      else return new Failure("expected a list of numbers, found an item that is not a number");
     }
     return body(numbers);
   });
 
-const fold = (text: string, cased: boolean): string => (cased ? text : text.toLowerCase());
+const foldCase = (text: string, cased: boolean): string => (cased ? text : text.toLowerCase());
 
-const inText = (cased: boolean): Fn =>
-  ofText(2, 3, ([item, list, separators]) =>
-    pieces(list!, separators).some((piece) => fold(piece, cased) === fold(item!, cased)),
+const stringListMemberFunction = (cased: boolean): BuiltinFunction =>
+  stringFunction(2, 3, ([item, list, separators]) =>
+    splitItems(list!, separators).some(
+      (piece) => foldCase(piece, cased) === foldCase(item!, cased),
+    ),
   );
 
-const subset = (cased: boolean): Fn =>
-  ofText(2, 3, ([a, b, separators]) => {
-    const there = new Set(pieces(b!, separators).map((piece) => fold(piece, cased)));
-    return pieces(a!, separators).every((piece) => there.has(fold(piece, cased)));
+const stringListSubsetFunction = (cased: boolean): BuiltinFunction =>
+  stringFunction(2, 3, ([a, b, separators]) => {
+    const bItems = new Set(splitItems(b!, separators).map((piece) => foldCase(piece, cased)));
+    return splitItems(a!, separators).every((piece) => bItems.has(foldCase(piece, cased)));
   });
 
-export const lists: Record<string, Fn> = {
+export const lists: Record<string, BuiltinFunction> = {
   size: {
     min: 1,
     max: 1,
     strict: true,
     run: ([value]) => {
       if (typeof value === "string") return BigInt(value.length);
-      if (value instanceof Bound) return BigInt(value.ad.size);
-      return isList(value!) ? BigInt(value.length) : new Failure(`size of ${typeOf(value!)}`);
+      if (value instanceof ScopedAd) return BigInt(value.ad.size);
+      return isList(value!)
+        ? BigInt(value.length)
+        : new Failure(`size is not defined for ${typeOf(value!)}`);
     },
   },
   member: {
     min: 2,
     max: 2,
     strict: true,
-    run: ([value, list], run) => {
-      const all = items(list!, run);
+    run: ([value, list], evaluation) => {
+      const all = listItems(list!, evaluation);
       if (all instanceof Failure) return all;
       return all.some((item) => truth(applyBinary("==", item, value!)) === true);
     },
@@ -132,29 +145,31 @@
     min: 2,
     max: 2,
     strict: false,
-    run: ([value, list], run) => {
+    run: ([value, list], evaluation) => {
       if (list === UNDEFINED || list instanceof Failure) return list;
-      const all = items(list!, run);
+      const all = listItems(list!, evaluation);
       return all instanceof Failure ? all : all.some((item) => identical(item, value!));
     },
   },
-  anyCompare: comparing(false),
-  allCompare: comparing(true),
-  sum: overNumbers((numbers) => (numbers.length === 0 ? 0n : sumOf(numbers))),
-  avg: overNumbers(averageOf),
-  min: overNumbers((numbers) => most(numbers, "<")),
-  max: overNumbers((numbers) => most(numbers, ">")),
-  stringListSize: ofText(1, 2, ([text, separators]) => BigInt(pieces(text!, separators).length)),
-  stringListSum: overText(sumOf),
-  stringListAvg: overText(averageOf),
-  stringListMin: overText((numbers) => most(numbers, "<")),
-  stringListMax: overText((numbers) => most(numbers, ">")),
-  stringListMember: inText(true),
-  stringListIMember: inText(false),
-  stringListSubsetMatch: subset(true),
-  stringListISubsetMatch: subset(false),
-  stringListsIntersect: ofText(2, 3, ([a, b, separators]) => {
-    const there = new Set(pieces(b!, separators));
-    return pieces(a!, separators).some((piece) => there.has(piece));
+  anyCompare: compareItems(false),
+  allCompare: compareItems(true),
+  sum: numberListFunction((numbers) => (numbers.length === 0 ? 0n : sumOf(numbers))),
+  avg: numberListFunction(averageOf),
+  min: numberListFunction((numbers) => extreme(numbers, "<")),
+  max: numberListFunction((numbers) => extreme(numbers, ">")),
+  stringListSize: stringFunction(1, 2, ([text, separators]) =>
+    BigInt(splitItems(text!, separators).length),
+  ),
+  stringListSum: numberStringListFunction(sumOf),
+  stringListAvg: numberStringListFunction(averageOf),
+  stringListMin: numberStringListFunction((numbers) => extreme(numbers, "<")),
+  stringListMax: numberStringListFunction((numbers) => extreme(numbers, ">")),
+  stringListMember: stringListMemberFunction(true),
+  stringListIMember: stringListMemberFunction(false),
+  stringListSubsetMatch: stringListSubsetFunction(true),
+  stringListISubsetMatch: stringListSubsetFunction(false),
+  stringListsIntersect: stringFunction(2, 3, ([a, b, separators]) => {
+    const bItems = new Set(splitItems(b!, separators));
+    return splitItems(a!, separators).some((piece) => bItems.has(piece));
   }),
 };
--- a/src/classad/functions/numbers.ts
+++ b/src/classad/functions/numbers.ts
@@ -1,29 +1,33 @@
-import { Failure, integer, isList, toInteger, typeOf, type Value } from "../values.js";
-import type { Fn } from "./index.js";
-import { one, toReal } from "./types.js";
+import { Failure, isList, toInteger, typeOf, type Value, wrapToInt64 } from "../values.js";
+import type { BuiltinFunction } from "./index.js";
+import { toReal, unaryFunction } from "./types.js";
 
-/** Rounds a number, or a number in text, to an integer. */
-const rounding = (round: (value: number) => number): Fn =>
-  one((value) => {
+/** A function that rounds a number, or a number in a string, to an integer. */
+const roundingFunction = (round: (value: number) => number): BuiltinFunction =>
+  unaryFunction((value) => {
     if (typeof value === "bigint") return value;
     const real = toReal(value);
-    return real === null ? new Failure(`rounding ${typeOf(value)}`) : toInteger(round(real));
+    return real === null ? new Failure(`cannot round ${typeOf(value)}`) : toInteger(round(real));
   });
 
-function nearestEven(value: number): number {
+function roundHalfToEven(value: number): number {
   const low = Math.floor(value);
-  const over = value - low;
-  if (over !== 0.5) return Math.round(value);
+  const fraction = value - low;
+  if (fraction !== 0.5) return Math.round(value);
   return low % 2 === 0 ? low : low + 1;
 }
 
-/** The next multiple of `step` from `value` on. */
-function upTo(value: Value, step: Value): Value {
+/** The first multiple of `step` that is not before `value`. */
+function nextMultiple(value: Value, step: Value): Value {
   if (typeof value === "bigint" && typeof step === "bigint") {
     if (step === 0n) return value;
-    const rest = value % step;
-    return integer(
-      rest === 0n ? value : value > 0n === step > 0n ? value + step - rest : value - rest,
+    const remainder = value % step;
+    return wrapToInt64(
+      remainder === 0n
+        ? value
+        : value > 0n === step > 0n
+          ? value + step - remainder
+          : value - remainder,
     );
   }
   const [x, y] = [toReal(value), toReal(step)];
@@ -31,32 +35,33 @@
   return y === 0 ? x : Math.ceil(x / y) * y;
 }
 
-export const numbers: Record<string, Fn> = {
-  floor: rounding(Math.floor),
-  ceiling: rounding(Math.ceil),
-  ceil: rounding(Math.ceil),
-  round: rounding(nearestEven),
+export const numbers: Record<string, BuiltinFunction> = {
+  floor: roundingFunction(Math.floor),
+  ceiling: roundingFunction(Math.ceil),
+  ceil: roundingFunction(Math.ceil),
+  round: roundingFunction(roundHalfToEven),
   pow: {
     min: 2,
     max: 2,
     strict: true,
     run: ([base, exponent]) => {
-      // An integer to an integer: bounded, since the result has 64 bits.
+      // The exponent is limited because the exact power is computed before it is wrapped to 64
+      // bits.
       if (typeof base === "bigint" && typeof exponent === "bigint" && exponent >= 0n) {
-        if (exponent < 64n) return integer(base ** exponent);
+        if (exponent < 64n) return wrapToInt64(base ** exponent);
       }
       const [x, y] = [toReal(base!), toReal(exponent!)];
       return x === null || y === null ? new Failure("pow needs numbers") : x ** y;
     },
   },
-  /** To the next multiple, or to the first value of a list that is large enough. */
+  /** Rounds up to a multiple of a number, or to the first value of a list that is large enough. */
   quantize: {
     min: 2,
     max: 2,
     strict: true,
-    run: ([value, step], run) => {
-      if (!isList(step!)) return upTo(value!, step!);
-      run.spend(1 + step.length);
+    run: ([value, step], evaluation) => {
+      if (!isList(step!)) return nextMultiple(value!, step!);
+      evaluation.chargeSteps(1 + step.length);
       const x = toReal(value!);
       if (x === null) return new Failure("quantize needs numbers");
       for (const item of step) {
@@ -65,7 +70,7 @@
         if (real >= x) return item;
       }
       const last = step.at(-1);
-      return last === undefined ? value! : upTo(value!, last);
+      return last === undefined ? value! : nextMultiple(value!, last);
     },
   },
   random: {
@@ -73,7 +78,10 @@
     max: 1,
     strict: true,
     run: ([most], { random }) => {
-      if (random === null) return new Failure("random() has no place in a decision");
+      if (random === null)
+        return new Failure(
+          "random() is not available here: the result would differ between evaluations",
+        );
       if (most === undefined) return random();
       if (typeof most === "bigint")
         return most <= 0n ? 0n : BigInt(Math.floor(random() * Number(most)));
--- a/src/classad/functions/moments.ts
+++ b/src/classad/functions/time-parsing.ts
@@ -1,6 +1,6 @@
 import { AbsTime, RelTime } from "../values.js";
 
-/** `2026-12-01T10:00:00+01:00`; the zone may be missing, and is UTC then. Null for other text. */
+/** Parses `2026-12-01T10:00:00+01:00`; without a zone it is UTC. Null for any other text. */
 export function parseAbsTime(text: string): AbsTime | null {
   const match =
     /^\s*(\d{4})-?(\d\d)-?(\d\d)(?:[T ](\d\d):?(\d\d)(?::?(\d\d(?:\.\d+)?))?)?\s*(Z|[+-]\d\d:?\d\d)?\s*$/i.exec(
@@ -8,19 +8,28 @@
     );
   if (match === null) return null;
   const [, year, month, day, hour = "0", minute = "0", second = "0", zone = "Z"] = match;
-  const at = Date.UTC(Number(year), Number(month) - 1, Number(day), Number(hour), Number(minute));
-  const date = new Date(at);
-  // The 31st of February is some other day to Date.
+  const utcMs = Date.UTC(
+    Number(year),
+    Number(month) - 1,
+    Number(day),
+    Number(hour),
+    Number(minute),
+  );
+  const date = new Date(utcMs);
+  // Date.UTC turns 31 February into a day of March.
   if (date.getUTCMonth() !== Number(month) - 1 || date.getUTCDate() !== Number(day)) return null;
   const [, sign, hours, minutes] = /^([+-])(\d\d):?(\d\d)$/.exec(zone) ?? [];
   const offset =
     sign === undefined
       ? 0
       : (sign === "-" ? -1 : 1) * (Number(hours) * 3600 + Number(minutes) * 60);
-  return new AbsTime(at / 1000 + Number(second) - offset, offset);
+  return new AbsTime(utcMs / 1000 + Number(second) - offset, offset);
 }
 
-/** `1+02:03:04.5`, `02:03:04`, `02:03` or `12s`, `3m`, `2h`, `1d` one after another. */
+/**
+ * Parses `1+02:03:04.5`, `02:03:04`, `02:03`, or units from days to seconds, as in `1d 2h 3m 12s`.
+ * Null otherwise.
+ */
 export function parseRelTime(text: string): RelTime | null {
   const clock = /^\s*(-?)(?:(\d+)\+)?(\d+):(\d\d)(?::(\d\d(?:\.\d+)?))?\s*$/.exec(text);
   if (clock !== null) {
--- a/src/classad/functions/times.ts
+++ b/src/classad/functions/times.ts
@@ -1,37 +1,37 @@
 import { DateTime, FixedOffsetZone } from "luxon";
 import { Ad } from "../ad.js";
 import { printRelTime } from "../print.js";
-import { AbsTime, Bound, Failure, RelTime, toInteger, typeOf, type Value } from "../values.js";
-import type { Fn } from "./index.js";
-import { made } from "./strings.js";
-import { one, toReal } from "./types.js";
+import { AbsTime, Failure, RelTime, ScopedAd, toInteger, typeOf, type Value } from "../values.js";
+import type { BuiltinFunction } from "./index.js";
+import { checkStringSize } from "./strings.js";
+import { toReal, unaryFunction } from "./types.js";
 
-const clock = (): Fn => ({
+const currentTimeFunction = (): BuiltinFunction => ({
   min: 0,
   max: 0,
   strict: true,
-  run: (_, { now }) => (now === null ? new Failure("no clock") : BigInt(Math.floor(now))),
+  run: (_, { now }) => (now === null ? new Failure("no current time") : BigInt(Math.floor(now))),
 });
 
-/** In its own zone; UTC for plain seconds. */
-function moment(value: Value): DateTime | Failure {
+/** The date and time in the value's own time zone; in UTC for a number of seconds. */
+function toDateTime(value: Value): DateTime | Failure {
   const seconds = toReal(value);
   if (seconds === null || typeof value === "string") {
-    return new Failure(`a time is needed, not ${typeOf(value)}`);
+    return new Failure(`expected a time, found ${typeOf(value)}`);
   }
   const offset = value instanceof AbsTime ? value.offset : 0;
-  const at = DateTime.fromSeconds(seconds, { zone: FixedOffsetZone.instance(offset / 60) });
-  return at.isValid ? at : new Failure("no such time");
+  const dateTime = DateTime.fromSeconds(seconds, { zone: FixedOffsetZone.instance(offset / 60) });
+  return dateTime.isValid ? dateTime : new Failure("time is out of range");
 }
 
-const field = (get: (at: DateTime) => number): Fn =>
-  one((value) => {
-    const at = moment(value);
-    return at instanceof Failure ? at : BigInt(get(at));
+const dateField = (get: (dateTime: DateTime) => number): BuiltinFunction =>
+  unaryFunction((value) => {
+    const dateTime = toDateTime(value);
+    return dateTime instanceof Failure ? dateTime : BigInt(get(dateTime));
   });
 
-/** strftime's letters, by the library's. */
-const LETTERS: Record<string, string> = {
+/** Conversion letters of strftime with the matching formats of luxon. */
+const STRFTIME_FORMATS: Record<string, string> = {
   a: "ccc",
   A: "cccc",
   b: "LLL",
@@ -60,7 +60,7 @@
   Z: "'UTC'ZZ",
 };
 
-function formatted(at: DateTime, format: string): string | Failure {
+function strftime(dateTime: DateTime, format: string): string | Failure {
   let out = "";
   for (let i = 0; i < format.length; i++) {
     if (format[i] !== "%") {
@@ -70,64 +70,76 @@
     const letter = format[++i] ?? "%";
     if (letter === "%") out += "%";
     else if (letter === "n") out += "\n";
-    else if (letter === "s") out += String(Math.floor(at.toSeconds()));
-    else if (LETTERS[letter] !== undefined)
-      out += at.toFormat(LETTERS[letter], { locale: "en-US" });
-    else return new Failure(`no %${letter} in a time's format`);
+    else if (letter === "s") out += String(Math.floor(dateTime.toSeconds()));
+    else if (STRFTIME_FORMATS[letter] !== undefined)
+      out += dateTime.toFormat(STRFTIME_FORMATS[letter], { locale: "en-US" });
+    else return new Failure(`%${letter} is not supported in a time format`);
   }
   return out;
 }
 
-const span = (seconds: number): Fn =>
-  one((value) => {
-    if (!(value instanceof RelTime)) return new Failure(`needs a span, not ${typeOf(value)}`);
+const inUnits = (seconds: number): BuiltinFunction =>
+  unaryFunction((value) => {
+    if (!(value instanceof RelTime))
+      return new Failure(`expected a relative time, found ${typeOf(value)}`);
     return value.seconds / seconds;
   });
 
-const spanField =
-  (get: (seconds: number) => number): Fn["run"] =>
+const relTimeField =
+  (get: (seconds: number) => number): BuiltinFunction["run"] =>
   ([value]) =>
     toInteger(get((value as RelTime).seconds));
 
-/** `getHours` and the like: of a moment, or what a span has beside whole days. */
-const either = (ofMoment: (at: DateTime) => number, ofSpan: (seconds: number) => number): Fn => {
-  const whole = field(ofMoment);
+/**
+ * A function such as `getHours`: a field of a date, or of a relative time beside its larger units.
+ */
+const dateOrRelTimeField = (
+  ofDate: (dateTime: DateTime) => number,
+  ofRelTime: (seconds: number) => number,
+): BuiltinFunction => {
+  const dateFunction = dateField(ofDate);
   return {
-    ...whole,
-    run: (args, run) =>
-      args[0] instanceof RelTime ? spanField(ofSpan)(args, run) : whole.run(args, run),
+    ...dateFunction,
+    run: (args, evaluation) =>
+      args[0] instanceof RelTime
+        ? relTimeField(ofRelTime)(args, evaluation)
+        : dateFunction.run(args, evaluation),
   };
 };
 
-export const times: Record<string, Fn> = {
-  time: clock(),
-  currentTime: clock(),
-  /** Seconds east of UTC; the program's own clock is UTC. */
+export const times: Record<string, BuiltinFunction> = {
+  time: currentTimeFunction(),
+  currentTime: currentTimeFunction(),
+  /**
+   * Offset of the local time zone in seconds east of UTC; always 0, because evaluation uses UTC.
+   */
   timeZoneOffset: { min: 0, max: 0, strict: true, run: () => 0n },
   formatTime: {
     min: 0,
     max: 2,
     strict: true,
-    run: ([value, format = "%c"], run) => {
-      if (value === undefined && run.now === null) return new Failure("no clock");
-      const at = moment(value ?? run.now!);
-      if (at instanceof Failure) return at;
-      if (typeof format !== "string") return new Failure("a format is text");
-      run.spend(4 * format.length);
-      const text = formatted(at, format);
-      return text instanceof Failure ? text : made(text, run);
+    run: ([value, format = "%c"], evaluation) => {
+      if (value === undefined && evaluation.now === null) return new Failure("no current time");
+      const dateTime = toDateTime(value ?? evaluation.now!);
+      if (dateTime instanceof Failure) return dateTime;
+      if (typeof format !== "string")
+        return new Failure("the format of formatTime must be a string");
+      evaluation.chargeSteps(4 * format.length);
+      const text = strftime(dateTime, format);
+      return text instanceof Failure ? text : checkStringSize(text, evaluation);
     },
   },
-  /** Seconds as `days+hh:mm:ss`. */
-  interval: one((value) => {
+  /** Formats seconds as `days+hh:mm:ss`. */
+  interval: unaryFunction((value) => {
     const seconds = toReal(value);
-    if (seconds === null || !Number.isFinite(seconds)) return new Failure("interval needs seconds");
+    if (seconds === null || !Number.isFinite(seconds))
+      return new Failure("interval needs a number of seconds");
     return printRelTime(new RelTime(Math.trunc(seconds)));
   }),
-  splitTime: one((value) => {
+  splitTime: unaryFunction((value) => {
     if (value instanceof RelTime) {
       const all = Math.abs(value.seconds);
-      return new Bound(
+      return new ScopedAd(
         new Ad()
           .put("Type", "RelativeTime")
           .put("Days", BigInt(Math.floor(all / 86_400)))
@@ -137,57 +149,57 @@
         null,
       );
     }
-    const at = moment(value);
-    if (at instanceof Failure) return at;
-    return new Bound(
+    const dateTime = toDateTime(value);
+    if (dateTime instanceof Failure) return dateTime;
+    return new ScopedAd(
       new Ad()
         .put("Type", "AbsoluteTime")
-        .put("Year", BigInt(at.year))
-        .put("Month", BigInt(at.month))
-        .put("Day", BigInt(at.day))
-        .put("Hours", BigInt(at.hour))
-        .put("Minutes", BigInt(at.minute))
-        .put("Seconds", BigInt(at.second))
-        .put("Offset", BigInt(at.offset * 60)),
+        .put("Year", BigInt(dateTime.year))
+        .put("Month", BigInt(dateTime.month))
+        .put("Day", BigInt(dateTime.day))
+        .put("Hours", BigInt(dateTime.hour))
+        .put("Minutes", BigInt(dateTime.minute))
+        .put("Seconds", BigInt(dateTime.second))
+        .put("Offset", BigInt(dateTime.offset * 60)),
       null,
     );
   }),
-  /** The span since midnight. */
+  /** The time since midnight, as a relative time. */
   dayTime: {
     min: 0,
     max: 1,
     strict: true,
-    run: ([value], run) => {
-      if (value === undefined && run.now === null) return new Failure("no clock");
-      const at = moment(value ?? run.now!);
-      if (at instanceof Failure) return at;
-      return new RelTime(at.hour * 3600 + at.minute * 60 + at.second);
+    run: ([value], evaluation) => {
+      if (value === undefined && evaluation.now === null) return new Failure("no current time");
+      const dateTime = toDateTime(value ?? evaluation.now!);
+      if (dateTime instanceof Failure) return dateTime;
+      return new RelTime(dateTime.hour * 3600 + dateTime.minute * 60 + dateTime.second);
     },
   },
-  getYear: field((at) => at.year),
-  getMonth: field((at) => at.month),
-  getDayOfYear: field((at) => at.ordinal),
-  getDayOfMonth: field((at) => at.day),
+  getYear: dateField((dateTime) => dateTime.year),
+  getMonth: dateField((dateTime) => dateTime.month),
+  getDayOfYear: dateField((dateTime) => dateTime.ordinal),
+  getDayOfMonth: dateField((dateTime) => dateTime.day),
   // Sunday is 0.
-  getDayOfWeek: field((at) => at.weekday % 7),
-  getDays: either(
-    (at) => at.day,
+  getDayOfWeek: dateField((dateTime) => dateTime.weekday % 7),
+  getDays: dateOrRelTimeField(
+    (dateTime) => dateTime.day,
     (seconds) => Math.trunc(seconds / 86_400),
   ),
-  getHours: either(
-    (at) => at.hour,
+  getHours: dateOrRelTimeField(
+    (dateTime) => dateTime.hour,
     (seconds) => Math.trunc((seconds % 86_400) / 3600),
   ),
-  getMinutes: either(
-    (at) => at.minute,
+  getMinutes: dateOrRelTimeField(
+    (dateTime) => dateTime.minute,
     (seconds) => Math.trunc((seconds % 3600) / 60),
   ),
-  getSeconds: either(
-    (at) => at.second,
+  getSeconds: dateOrRelTimeField(
+    (dateTime) => dateTime.second,
     (seconds) => Math.trunc(seconds % 60),
   ),
-  inDays: span(86_400),
-  inHours: span(3600),
-  inMinutes: span(60),
-  inSeconds: span(1),
+  inDays: inUnits(86_400),
+  inHours: inUnits(3600),
+  inMinutes: inUnits(60),
+  inSeconds: inUnits(1),
 };
--- a/src/classad/functions/types.ts
+++ b/src/classad/functions/types.ts
@@ -1,51 +1,51 @@
 import { print, printValue } from "../print.js";
 import {
   AbsTime,
-  Bound,
   Failure,
   isList,
   isNumber,
   RelTime,
+  ScopedAd,
   type TypeName,
   toInteger,
   typeOf,
   type Value,
 } from "../values.js";
-import type { Fn } from "./index.js";
-import { parseAbsTime, parseRelTime } from "./moments.js";
+import type { BuiltinFunction } from "./index.js";
+import { parseAbsTime, parseRelTime } from "./time-parsing.js";
 
-const is = (...names: TypeName[]): Fn => ({
+const typeTest = (...names: TypeName[]): BuiltinFunction => ({
   min: 1,
   max: 1,
   strict: false,
   run: ([value]) => names.includes(typeOf(value!)),
 });
 
-/** One argument, which is neither ERROR nor UNDEFINED. */
-export const one = (run: (value: Value, ...rest: never[]) => Value): Fn => ({
+/** A function of one argument, which is called only if that is neither ERROR nor UNDEFINED. */
+export const unaryFunction = (run: (value: Value, ...rest: never[]) => Value): BuiltinFunction => ({
   min: 1,
   max: 1,
   strict: true,
   run: ([value]) => run(value!),
 });
 
-/** What `strcat` and `string` make of a value. */
+/** A value as a string, as `strcat` and `string` convert it. */
 export const textOf = (value: Value): string =>
   typeof value === "string" ? value : printText(value);
 
 function printText(value: Value): string {
-  if (value instanceof Bound) return String(value.ad);
+  if (value instanceof ScopedAd) return String(value.ad);
   if (value instanceof AbsTime || value instanceof RelTime) {
     return /"(.*)"/.exec(printValue(value))![1]!;
   }
   return isList(value) ? print({ kind: "literal", value, depth: 1 }) : printValue(value);
 }
 
-const NUMBER = /^\s*[+-]?(\d+(\.\d*)?|\.\d+)([eE][+-]?\d+)?\s*$/;
+const NUMBER_PATTERN = /^\s*[+-]?(\d+(\.\d*)?|\.\d+)([eE][+-]?\d+)?\s*$/;
 
-function numberIn(text: string): bigint | number | null {
+function parseNumber(text: string): bigint | number | null {
   if (/^\s*[+-]?\d+\s*$/.test(text)) return BigInt(text.trim().replace(/^\+/, ""));
-  if (NUMBER.test(text)) return Number(text);
+  if (NUMBER_PATTERN.test(text)) return Number(text);
   const special = /^\s*([+-]?)(inf|nan)\s*$/i.exec(text);
   if (special === null) return null;
   if (special[2]!.toLowerCase() === "nan") return Number.NaN;
@@ -56,7 +56,7 @@
   if (isNumber(value)) return Number(value);
   if (typeof value === "boolean") return value ? 1 : 0;
   if (typeof value === "string") {
-    const number = numberIn(value);
+    const number = parseNumber(value);
     return number === null ? null : Number(number);
   }
   return value instanceof AbsTime || value instanceof RelTime ? value.seconds : null;
@@ -65,56 +65,72 @@
 function toInt(value: Value): Value {
   if (typeof value === "bigint") return value;
   if (typeof value === "string") {
-    const number = numberIn(value);
+    const number = parseNumber(value);
     if (typeof number === "bigint") {
-      return BigInt.asIntN(64, number) === number ? number : new Failure("more than 64 bits");
+      return BigInt.asIntN(64, number) === number
+        ? number
+        : new Failure("integer does not fit into 64 bits");
     }
   }
   const real = toReal(value);
-  return real === null ? new Failure(`int of ${typeOf(value)}`) : toInteger(real);
+  return real === null
+    ? new Failure(`cannot convert to integer: ${typeOf(value)}`)
+    : toInteger(real);
 }
 
-export const types: Record<string, Fn> = {
-  isUndefined: is("undefined"),
-  isError: is("error"),
-  isString: is("string"),
-  isInteger: is("integer"),
-  isReal: is("real"),
-  isBoolean: is("boolean"),
-  isList: is("list"),
-  isClassAd: is("classad"),
-  isAbsTime: is("abstime"),
-  isRelTime: is("reltime"),
-  int: one(toInt),
-  real: one((value) => toReal(value) ?? new Failure(`real of ${typeOf(value)}`)),
-  string: one(textOf),
-  bool: one((value) => {
+export const types: Record<string, BuiltinFunction> = {
+  isUndefined: typeTest("undefined"),
+  isError: typeTest("error"),
+  isString: typeTest("string"),
+  isInteger: typeTest("integer"),
+  isReal: typeTest("real"),
+  isBoolean: typeTest("boolean"),
+  isList: typeTest("list"),
+  isClassAd: typeTest("classad"),
+  isAbsTime: typeTest("abstime"),
+  isRelTime: typeTest("reltime"),
+  int: unaryFunction(toInt),
+  real: unaryFunction(
+    (value) => toReal(value) ?? new Failure(`cannot convert to real: ${typeOf(value)}`),
+  ),
+  string: unaryFunction(textOf),
+  bool: unaryFunction((value) => {
     if (typeof value === "boolean") return value;
     if (isNumber(value)) return Number(value) !== 0;
-    if (typeof value !== "string") return new Failure(`bool of ${typeOf(value)}`);
+    if (typeof value !== "string")
+      return new Failure(`cannot convert to boolean: ${typeOf(value)}`);
     const text = value.toLowerCase();
-    return text === "true" ? true : text === "false" ? false : new Failure("bool of other text");
+    return text === "true"
+      ? true
+      : text === "false"
+        ? false
+        : new Failure("cannot convert to boolean: expected the string true or false");
   }),
   absTime: {
     min: 0,
     max: 2,
     strict: true,
-    run: ([value, offset], run) => {
+    run: ([value, offset], evaluation) => {
       if (value === undefined) {
-        return run.now === null ? new Failure("no clock") : new AbsTime(run.now, 0);
+        return evaluation.now === null
+          ? new Failure("no current time")
+          : new AbsTime(evaluation.now, 0);
       }
       if (value instanceof AbsTime) return value;
-      const east = offset === undefined ? 0 : toReal(offset);
-      if (east === null) return new Failure("an offset in seconds");
-      if (isNumber(value)) return new AbsTime(Number(value), east);
-      if (typeof value !== "string") return new Failure(`absTime of ${typeOf(value)}`);
-      return parseAbsTime(value) ?? new Failure("absTime of other text");
+      const offsetSeconds = offset === undefined ? 0 : toReal(offset);
+      if (offsetSeconds === null)
+        return new Failure("the offset of absTime must be a number of seconds");
+      if (isNumber(value)) return new AbsTime(Number(value), offsetSeconds);
+      if (typeof value !== "string")
+        return new Failure(`cannot convert to absolute time: ${typeOf(value)}`);
+      return parseAbsTime(value) ?? new Failure("absTime cannot parse this string");
     },
   },
-  relTime: one((value) => {
+  relTime: unaryFunction((value) => {
     if (value instanceof RelTime) return value;
     if (isNumber(value)) return new RelTime(Number(value));
-    if (typeof value !== "string") return new Failure(`relTime of ${typeOf(value)}`);
-    return parseRelTime(value) ?? new Failure("relTime of other text");
+    if (typeof value !== "string")
+      return new Failure(`cannot convert to relative time: ${typeOf(value)}`);
+    return parseRelTime(value) ?? new Failure("relTime cannot parse this string");
   }),
 };
--- a/src/classad/lexer.ts
+++ b/src/classad/lexer.ts
@@ -1,6 +1,6 @@
 import { createToken, Lexer, type TokenType } from "chevrotain";
 
-const word = (name: string, pattern: RegExp): TokenType =>
+const keywordToken = (name: string, pattern: RegExp): TokenType =>
   createToken({ name, label: "a value", pattern, longer_alt: Name });
 
 export const Name = createToken({
@@ -8,7 +8,7 @@
   label: "a name",
   pattern: /[A-Za-z_][A-Za-z0-9_]*/,
 });
-/** `'any text'` is an attribute's name. */
+/** `'any text'` is an attribute name, with any characters. */
 export const QuotedName = createToken({
   name: "QuotedName",
   label: "a name",
@@ -32,15 +32,15 @@
   pattern: /0[xX][0-9A-Fa-f]+|\d+[BKMGTbkmgt]?(?![A-Za-z0-9_])/,
 });
 
-export const True = word("True", /true/i);
-export const False = word("False", /false/i);
-export const Undefined = word("Undefined", /undefined/i);
-export const ErrorWord = word("Error", /error/i);
-export const Is = word("Is", /is/i);
-export const Isnt = word("Isnt", /isnt/i);
+export const True = keywordToken("True", /true/i);
+export const False = keywordToken("False", /false/i);
+export const Undefined = keywordToken("Undefined", /undefined/i);
+export const ErrorWord = keywordToken("Error", /error/i);
+export const Is = keywordToken("Is", /is/i);
+export const Isnt = keywordToken("Isnt", /isnt/i);
 
 export const Binary = createToken({ name: "Binary", label: "an operator", pattern: Lexer.NA });
-/** `-` and `+` stand before an operand as well as between two. */
+/** `-` and `+`, which are unary as well as binary operators. */
 export const Sign = createToken({
   name: "Sign",
   label: "an operator",
@@ -48,7 +48,7 @@
   categories: [Binary],
 });
 export const Prefix = createToken({ name: "Prefix", label: "an operator", pattern: /!(?!=)|~/ });
-const operators = createToken({
+const operatorToken = createToken({
   name: "Operator",
   label: "an operator",
   pattern: /=\?=|=!=|==|!=|\|\||&&|>>>|<<|>>|<=|>=|[<>|^&*/%]/,
@@ -57,20 +57,20 @@
 Is.CATEGORIES = [Binary];
 Isnt.CATEGORIES = [Binary];
 
-const mark = (name: string, text: string): TokenType =>
+const punctuationToken = (name: string, text: string): TokenType =>
   createToken({ name, label: `'${text}'`, pattern: text });
-export const Question = mark("Question", "?");
-export const Colon = mark("Colon", ":");
-export const Comma = mark("Comma", ",");
-export const Semicolon = mark("Semicolon", ";");
-export const Equals = mark("Equals", "=");
-export const Dot = mark("Dot", ".");
-export const Open = mark("Open", "(");
-export const Close = mark("Close", ")");
-export const OpenSquare = mark("OpenSquare", "[");
-export const CloseSquare = mark("CloseSquare", "]");
-export const OpenCurly = mark("OpenCurly", "{");
-export const CloseCurly = mark("CloseCurly", "}");
+export const Question = punctuationToken("Question", "?");
+export const Colon = punctuationToken("Colon", ":");
+export const Comma = punctuationToken("Comma", ",");
+export const Semicolon = punctuationToken("Semicolon", ";");
+export const Equals = punctuationToken("Equals", "=");
+export const Dot = punctuationToken("Dot", ".");
+export const Open = punctuationToken("Open", "(");
+export const Close = punctuationToken("Close", ")");
+export const OpenSquare = punctuationToken("OpenSquare", "[");
+export const CloseSquare = punctuationToken("CloseSquare", "]");
+export const OpenCurly = punctuationToken("OpenCurly", "{");
+export const CloseCurly = punctuationToken("CloseCurly", "}");
 
 const space = createToken({ name: "Space", pattern: /[ \t\r\n\f\v]+/, group: Lexer.SKIPPED });
 const lineComment = createToken({
@@ -100,7 +100,7 @@
   Text,
   Real,
   Integer,
-  operators,
+  operatorToken,
   Sign,
   Prefix,
   Question,
@@ -122,7 +122,7 @@
 
 const ESCAPES: Record<string, string> = { n: "\n", t: "\t", r: "\r", b: "\b", f: "\f" };
 
-/** The text of a quoted token. */
+/** The content of a quoted token, with escapes resolved. */
 export const unquote = (image: string): string =>
   image
     .slice(1, -1)
--- a/src/classad/limits.ts
+++ b/src/classad/limits.ts
@@ -1,30 +1,34 @@
 /**
- * Bounds on what one expression may cost. An expression within them takes at most `steps` units
- * of work: one for each node that is evaluated, and one for each 32 characters or each item that a
- * function goes through.
+ * Limits on the cost of one expression. An evaluation takes at most `steps` steps of work: one for
+ * each node that is evaluated, and one for each 32 characters or each list item that a function
+ * processes.
  */
 export interface Limits {
-  /** Characters of an expression's text. */
-  length: number;
-  /** How deeply an expression may be nested, in its text and in the tree. */
+  /** Characters in the text of an expression. */
+  textLength: number;
+  /** Nesting depth of an expression, in its text and in its tree. */
   depth: number;
   steps: number;
-  /** Nesting of expressions by attributes that refer to attributes, added up. */
-  reach: number;
-  /** Characters of a string, and items of a list, that an expression makes. */
-  size: number;
-  /** Characters of a regular expression, and instructions that it compiles to. */
-  pattern: number;
-  program: number;
+  /**
+   * Sum of the tree depths of all attributes that are being evaluated at once, each referred to by
+   * the one before.
+   */
+  attributeDepth: number;
+  /** Characters of a string, and items of a list, that an expression produces. */
+  resultSize: number;
+  /** Characters of a regular expression. */
+  patternLength: number;
+  /** Instructions that a regular expression compiles to. */
+  patternInstructions: number;
 }
 
 export const defaultLimits: Limits = {
-  length: 65_536,
-  // A hundred levels of parser and evaluator take a tenth of Node's default stack.
+  textLength: 65_536,
+  // 100 levels of parser and evaluator recursion use a tenth of Node's default stack.
   depth: 100,
   steps: 100_000,
-  reach: 500,
-  size: 65_536,
-  pattern: 1024,
-  program: 2000,
+  attributeDepth: 500,
+  resultSize: 65_536,
+  patternLength: 1024,
+  patternInstructions: 2000,
 };
--- a/src/classad/operators.ts
+++ b/src/classad/operators.ts
@@ -1,20 +1,20 @@
 import type { BinaryOp, UnaryOp } from "./ast.js";
 import {
   AbsTime,
-  Bound,
   Failure,
   identical,
-  integer,
   isList,
   numeric,
   RelTime,
+  ScopedAd,
   truth,
   typeOf,
   UNDEFINED,
   type Value,
+  wrapToInt64,
 } from "./values.js";
 
-const wrong = (op: string, a: Value, b?: Value): Failure =>
+const typeMismatch = (op: string, a: Value, b?: Value): Failure =>
   new Failure(`${op} on ${typeOf(a)}${b === undefined ? "" : ` and ${typeOf(b)}`}`);
 
 export function applyUnary(op: UnaryOp, value: Value): Value {
@@ -22,43 +22,43 @@
   switch (op) {
     case "!": {
       const is = truth(value);
-      return is === null ? wrong("!", value) : !is;
+      return is === null ? typeMismatch("!", value) : !is;
     }
     case "~":
       return typeof value === "bigint"
-        ? integer(~value)
+        ? wrapToInt64(~value)
         : typeof value === "boolean"
           ? !value
-          : wrong("~", value);
+          : typeMismatch("~", value);
     default: {
       if (value instanceof RelTime) return op === "-" ? new RelTime(-value.seconds) : value;
       const number = numeric(value);
-      if (number === null) return wrong(op, value);
+      if (number === null) return typeMismatch(op, value);
       if (op === "+") return number;
-      return typeof number === "bigint" ? integer(-number) : -number;
+      return typeof number === "bigint" ? wrapToInt64(-number) : -number;
     }
   }
 }
 
 /**
- * What the left operand alone decides: `||` and `&&` know the answer when it is TRUE or FALSE, and
- * an ERROR on the left is the answer. Null when the right operand is needed.
+ * The result of `||` and `&&` if the left operand alone determines it: `||` with TRUE, `&&` with
+ * FALSE, and either with ERROR. Null if the right operand is needed.
  */
-export function shortcut(op: BinaryOp, left: Value): Value | null {
+export function shortCircuit(op: BinaryOp, left: Value): Value | null {
   if (op !== "||" && op !== "&&") return null;
   if (left instanceof Failure) return left;
   if (left === UNDEFINED) return null;
   const is = truth(left);
-  if (is === null) return wrong(op, left);
+  if (is === null) return typeMismatch(op, left);
   return is === (op === "||") ? is : null;
 }
 
-/** Three-valued logic, for a left operand that decides nothing by itself. */
-function logic(op: "||" | "&&", left: Value, right: Value): Value {
+/** Three-valued logic, for a left operand that does not determine the result by itself. */
+function threeValuedLogic(op: "||" | "&&", left: Value, right: Value): Value {
   if (right instanceof Failure) return right;
   if (right === UNDEFINED) return UNDEFINED;
   const is = truth(right);
-  if (is === null) return wrong(op, right);
+  if (is === null) return typeMismatch(op, right);
   if (is === (op === "||")) return is;
   return left === UNDEFINED ? UNDEFINED : is;
 }
@@ -66,7 +66,8 @@
 export function applyBinary(op: BinaryOp, left: Value, right: Value): Value {
   if (op === "=?=") return identical(left, right);
   if (op === "=!=") return !identical(left, right);
-  if (op === "||" || op === "&&") return shortcut(op, left) ?? logic(op, left, right);
+  if (op === "||" || op === "&&")
+    return shortCircuit(op, left) ?? threeValuedLogic(op, left, right);
   if (left instanceof Failure) return left;
   if (right instanceof Failure) return right;
   if (left === UNDEFINED || right === UNDEFINED) return UNDEFINED;
@@ -84,7 +85,7 @@
     case "<<":
     case ">>":
     case ">>>":
-      return bits(op, left, right);
+      return bitwise(op, left, right);
     default:
       return arithmetic(op, left, right);
   }
@@ -92,7 +93,7 @@
 
 type Comparison = "==" | "!=" | "<" | "<=" | ">" | ">=";
 
-function ordered<T extends number | bigint | string>(op: Comparison, a: T, b: T): boolean {
+function applyComparison<T extends number | bigint | string>(op: Comparison, a: T, b: T): boolean {
   switch (op) {
     case "==":
       return a === b;
@@ -109,34 +110,34 @@
   }
 }
 
-/** Strings without regard to case; numbers whatever their type; times among themselves. */
+/** Strings are compared ignoring case, numbers across types, and times only with their own type. */
 function compare(op: Comparison, left: Value, right: Value): Value {
   if (typeof left === "string" && typeof right === "string") {
-    return ordered(op, left.toLowerCase(), right.toLowerCase());
+    return applyComparison(op, left.toLowerCase(), right.toLowerCase());
   }
   if (left instanceof AbsTime && right instanceof AbsTime) {
-    return ordered(op, left.seconds, right.seconds);
+    return applyComparison(op, left.seconds, right.seconds);
   }
   if (left instanceof RelTime && right instanceof RelTime) {
-    return ordered(op, left.seconds, right.seconds);
+    return applyComparison(op, left.seconds, right.seconds);
   }
   const a = numeric(left);
   const b = numeric(right);
-  if (a === null || b === null) return wrong(op, left, right);
-  if (typeof a === typeof b) return ordered(op, a as number, b as number);
-  // An integer and a real are compared exactly; only equality has to be asked in another way.
+  if (a === null || b === null) return typeMismatch(op, left, right);
+  if (typeof a === typeof b) return applyComparison(op, a as number, b as number);
+  // JavaScript orders a bigint and a number exactly, but `===` between them is always false.
   if (op === "==" || op === "!=") return (a <= b && a >= b) === (op === "==");
-  return ordered(op, a as number, b as number);
+  return applyComparison(op, a as number, b as number);
 }
 
-function bits(op: "|" | "&" | "^" | "<<" | ">>" | ">>>", left: Value, right: Value): Value {
+function bitwise(op: "|" | "&" | "^" | "<<" | ">>" | ">>>", left: Value, right: Value): Value {
   if (typeof left === "boolean" && typeof right === "boolean") {
     if (op === "|") return left || right;
     if (op === "&") return left && right;
     if (op === "^") return left !== right;
   }
-  if (typeof left !== "bigint" || typeof right !== "bigint") return wrong(op, left, right);
-  const by = right & 63n;
+  if (typeof left !== "bigint" || typeof right !== "bigint") return typeMismatch(op, left, right);
+  const shift = right & 63n;
   switch (op) {
     case "|":
       return left | right;
@@ -145,11 +146,11 @@
     case "^":
       return left ^ right;
     case "<<":
-      return integer(left << by);
+      return wrapToInt64(left << shift);
     case ">>":
-      return left >> by;
+      return left >> shift;
     case ">>>":
-      return integer(BigInt.asUintN(64, left) >> by);
+      return wrapToInt64(BigInt.asUintN(64, left) >> shift);
   }
 }
 
@@ -162,26 +163,26 @@
     right instanceof AbsTime ||
     right instanceof RelTime
   ) {
-    return times(op, left, right);
+    return timeArithmetic(op, left, right);
   }
-  if (isList(left) || isList(right) || left instanceof Bound || right instanceof Bound) {
-    return wrong(op, left, right);
+  if (isList(left) || isList(right) || left instanceof ScopedAd || right instanceof ScopedAd) {
+    return typeMismatch(op, left, right);
   }
   const a = numeric(left);
   const b = numeric(right);
-  if (a === null || b === null) return wrong(op, left, right);
+  if (a === null || b === null) return typeMismatch(op, left, right);
   if (typeof a === "bigint" && typeof b === "bigint") {
     switch (op) {
       case "+":
-        return integer(a + b);
+        return wrapToInt64(a + b);
       case "-":
-        return integer(a - b);
+        return wrapToInt64(a - b);
       case "*":
-        return integer(a * b);
+        return wrapToInt64(a * b);
       case "/":
-        return b === 0n ? new Failure("division by zero") : integer(a / b);
+        return b === 0n ? new Failure("division by zero") : wrapToInt64(a / b);
       case "%":
-        return b === 0n ? new Failure("division by zero") : integer(a % b);
+        return b === 0n ? new Failure("division by zero") : wrapToInt64(a % b);
     }
   }
   const x = Number(a);
@@ -196,17 +197,17 @@
     case "/":
       return y === 0 ? new Failure("division by zero") : x / y;
     case "%":
-      return wrong(op, left, right);
+      return typeMismatch(op, left, right);
   }
 }
 
-function times(op: Arithmetic, left: Value, right: Value): Value {
+function timeArithmetic(op: Arithmetic, left: Value, right: Value): Value {
   if (left instanceof AbsTime) {
     if (right instanceof AbsTime && op === "-") return new RelTime(left.seconds - right.seconds);
     if (right instanceof RelTime && (op === "+" || op === "-")) {
       return new AbsTime(left.seconds + (op === "+" ? 1 : -1) * right.seconds, left.offset);
     }
-    return wrong(op, left, right);
+    return typeMismatch(op, left, right);
   }
   if (left instanceof RelTime) {
     if (right instanceof RelTime && (op === "+" || op === "-")) {
@@ -216,7 +217,7 @@
       return new AbsTime(right.seconds + left.seconds, right.offset);
     }
     const factor = numeric(right);
-    if (factor === null || (op !== "*" && op !== "/")) return wrong(op, left, right);
+    if (factor === null || (op !== "*" && op !== "/")) return typeMismatch(op, left, right);
     if (op === "/" && Number(factor) === 0) return new Failure("division by zero");
     return new RelTime(op === "*" ? left.seconds * Number(factor) : left.seconds / Number(factor));
   }
@@ -224,14 +225,14 @@
   if (factor !== null && right instanceof RelTime && op === "*") {
     return new RelTime(Number(factor) * right.seconds);
   }
-  return wrong(op, left, right);
+  return typeMismatch(op, left, right);
 }
 
-/** `list[i]` and `ad["name"]`, the second by `selectKey`. */
-export function element(list: readonly Value[], index: Value): Value {
-  if (typeof index !== "bigint") return wrong("[]", index);
-  if (index < 0n || index >= BigInt(list.length)) return new Failure("no such item of the list");
+/** `list[i]`. For `ad["name"]` see `selectKey`. */
+export function listElement(list: readonly Value[], index: Value): Value {
+  if (typeof index !== "bigint") return typeMismatch("[]", index);
+  if (index < 0n || index >= BigInt(list.length)) return new Failure("list index out of range");
   return list[Number(index)]!;
 }
 
-export const notAnAd = (value: Value): Failure => wrong(".", value);
+export const notAnAdError = (value: Value): Failure => typeMismatch(".", value);
--- a/src/classad/parser.ts
+++ b/src/classad/parser.ts
@@ -10,38 +10,41 @@
 import { ClassAdError } from "./errors.js";
 import * as t from "./lexer.js";
 import { defaultLimits, type Limits } from "./limits.js";
-import { Failure, integer, UNDEFINED } from "./values.js";
+import { Failure, UNDEFINED, wrapToInt64 } from "./values.js";
 
-const names = (types: readonly TokenType[]): string[] => [...new Set(types.map(tokenLabel))];
+const labelsOf = (types: readonly TokenType[]): string[] => [...new Set(types.map(tokenLabel))];
 
-const found = (token: IToken | undefined): string =>
+const describeToken = (token: IToken | undefined): string =>
   token === undefined || token.image === "" ? "the end" : `'${token.image.slice(0, 40)}'`;
 
-const say = (expected: readonly string[], token: IToken | undefined): string =>
+const expectedMessage = (expected: readonly string[], token: IToken | undefined): string =>
   `expected ${expected.length > 1 ? `${expected.slice(0, -1).join(", ")} or ` : ""}${
     expected.at(-1) ?? "something else"
-  }, found ${found(token)}`;
+  }, found ${describeToken(token)}`;
 
-/** The texts are made here, and taken apart nowhere: `expected` travels as JSON. */
-const messages: IParserErrorMessageProvider = {
-  buildMismatchTokenMessage: ({ expected }) => JSON.stringify(names([expected])),
+/**
+ * Chevrotain allows only a string as message, so each is the list of expected token labels as JSON.
+ * `parse` builds the text for users from it.
+ */
+const errorMessages: IParserErrorMessageProvider = {
+  buildMismatchTokenMessage: ({ expected }) => JSON.stringify(labelsOf([expected])),
   buildNotAllInputParsedMessage: () => JSON.stringify(["an operator", "the end"]),
   buildNoViableAltMessage: ({ expectedPathsPerAlt }) =>
     JSON.stringify(
-      names(expectedPathsPerAlt.flatMap((paths) => paths.flatMap(([first]) => first ?? []))),
+      labelsOf(expectedPathsPerAlt.flatMap((paths) => paths.flatMap(([first]) => first ?? []))),
     ),
   buildEarlyExitMessage: ({ expectedIterationPaths }) =>
-    JSON.stringify(names(expectedIterationPaths.flatMap(([first]) => first ?? []))),
+    JSON.stringify(labelsOf(expectedIterationPaths.flatMap(([first]) => first ?? []))),
 };
 
-const UNITS: Record<string, bigint> = { b: 0n, k: 10n, m: 20n, g: 30n, t: 40n };
+const UNIT_SHIFTS: Record<string, bigint> = { b: 0n, k: 10n, m: 20n, g: 30n, t: 40n };
 
 class Grammar extends EmbeddedActionsParser {
   depth = 0;
-  limit = 0;
+  maxDepth = 0;
 
   constructor() {
-    super(t.vocabulary, { errorMessageProvider: messages, maxLookahead: 2 });
+    super(t.vocabulary, { errorMessageProvider: errorMessages, maxLookahead: 2 });
     this.performSelfAnalysis();
   }
 
@@ -49,14 +52,16 @@
     throw new ClassAdError(reason, token.startLine ?? 1, token.startColumn ?? 1);
   }
 
-  #checked(node: ast.Node): ast.Node {
-    if (node.depth > this.limit) this.#fail(`nested more than ${this.limit} deep`, this.LA(0));
+  #checkDepth(node: ast.Node): ast.Node {
+    if (node.depth > this.maxDepth)
+      this.#fail(`nested more than ${this.maxDepth} deep`, this.LA(0));
     return node;
   }
 
   readonly expression = this.RULE("expression", (): ast.Node => {
     this.ACTION(() => {
-      if (++this.depth > this.limit) this.#fail(`nested more than ${this.limit} deep`, this.LA(1));
+      if (++this.depth > this.maxDepth)
+        this.#fail(`nested more than ${this.maxDepth} deep`, this.LA(1));
     });
     let node = this.SUBRULE(this.operation);
     this.OPTION(() => {
@@ -65,7 +70,7 @@
       this.CONSUME(t.Colon);
       const otherwise = this.SUBRULE2(this.expression);
       this.ACTION(() => {
-        node = this.#checked(ast.condition(node, then ?? null, otherwise));
+        node = this.#checkDepth(ast.condition(node, then ?? null, otherwise));
       });
     });
     this.ACTION(() => {
@@ -81,17 +86,19 @@
       const token = this.CONSUME(t.Binary);
       const operand = this.SUBRULE2(this.operand);
       this.ACTION(() => {
-        ops.push(opOf(token));
+        ops.push(binaryOpOf(token));
         operands.push(operand);
       });
     });
-    return this.ACTION(() => this.#checked(ops.length === 0 ? operands[0]! : climb(operands, ops)));
+    return this.ACTION(() =>
+      this.#checkDepth(ops.length === 0 ? operands[0]! : groupByPrecedence(operands, ops)),
+    );
   });
 
   readonly operand = this.RULE("operand", (): ast.Node => {
-    const signs: IToken[] = [];
+    const prefixOperators: IToken[] = [];
     this.MANY(() => {
-      signs.push(
+      prefixOperators.push(
         this.OR([{ ALT: () => this.CONSUME(t.Sign) }, { ALT: () => this.CONSUME(t.Prefix) }]),
       );
     });
@@ -103,7 +110,7 @@
             this.CONSUME(t.Dot);
             const name = this.SUBRULE(this.name);
             this.ACTION(() => {
-              node = this.#checked(selected(node, name));
+              node = this.#checkDepth(selectOrScopedName(node, name));
             });
           },
         },
@@ -113,17 +120,17 @@
             const index = this.SUBRULE(this.expression);
             this.CONSUME(t.CloseSquare);
             this.ACTION(() => {
-              node = this.#checked(ast.subscript(node, index));
+              node = this.#checkDepth(ast.subscript(node, index));
             });
           },
         },
       ]);
     });
     this.ACTION(() => {
-      for (const { image } of signs.reverse()) {
-        // 2^63 with a minus before it is one literal, as it is printed.
+      for (const { image } of prefixOperators.reverse()) {
+        // `-9223372036854775808` (-2^63) is one literal, as the printer writes it.
         if (image === "-" && node.kind === "literal" && node.value === -(2n ** 63n)) continue;
-        node = this.#checked(ast.unary(image as ast.UnaryOp, node));
+        node = this.#checkDepth(ast.unary(image as ast.UnaryOp, node));
       }
     });
     return node;
@@ -161,7 +168,7 @@
               },
             });
             this.CONSUME(t.CloseCurly);
-            return this.ACTION(() => this.#checked(ast.list(items)));
+            return this.ACTION(() => this.#checkDepth(ast.list(items)));
           },
         },
         { ALT: () => this.SUBRULE(this.record) },
@@ -175,7 +182,7 @@
         {
           ALT: () => {
             const token = this.CONSUME(t.Integer);
-            return this.ACTION(() => ast.literal(this.#integer(token)));
+            return this.ACTION(() => ast.literal(this.#parseInteger(token)));
           },
         },
         { ALT: () => ast.literal(Number(this.CONSUME(t.Real).image)) },
@@ -212,14 +219,16 @@
       ]),
   );
 
-  #integer(token: IToken): bigint {
-    const unit = /^0[xX]/.test(token.image) ? undefined : UNITS[token.image.at(-1)!.toLowerCase()];
+  #parseInteger(token: IToken): bigint {
+    const unit = /^0[xX]/.test(token.image)
+      ? undefined
+      : UNIT_SHIFTS[token.image.at(-1)!.toLowerCase()];
     const digits = unit === undefined ? token.image : token.image.slice(0, -1);
     const octal = /^0[0-7]+$/.test(digits);
     const value = BigInt(octal ? `0o${digits.slice(1)}` : digits) << (unit ?? 0n);
-    // 2^63 is allowed: with a minus before it, it is the least integer.
+    // 2^63 is allowed because -2^63 is the smallest integer; without a minus it wraps to -2^63.
     if (value > 2n ** 63n) this.#fail("an integer has at most 64 bits", token);
-    return integer(value);
+    return wrapToInt64(value);
   }
 
   readonly reference = this.RULE("reference", (): ast.Node => {
@@ -238,7 +247,7 @@
       args = given;
     });
     return this.ACTION(() =>
-      this.#checked(args === null ? ast.attribute(name) : ast.call(name, args)),
+      this.#checkDepth(args === null ? ast.attribute(name) : ast.call(name, args)),
     );
   });
 
@@ -267,7 +276,7 @@
       });
     });
     this.CONSUME(t.CloseSquare);
-    return this.ACTION(() => this.#checked(ast.record(entries)));
+    return this.ACTION(() => this.#checkDepth(ast.record(entries)));
   });
 
   readonly entry = this.RULE("entry", (): ast.Entry => {
@@ -277,8 +286,8 @@
   });
 }
 
-/** `MY.x` and `TARGET.x` name one of the two ads; anything else selects. */
-function selected(base: ast.Node, name: string): ast.Node {
+/** `MY.x` and `TARGET.x` are attributes of the two ads; any other `a.x` is a selection. */
+function selectOrScopedName(base: ast.Node, name: string): ast.Node {
   if (base.kind === "attribute" && base.where === "any") {
     if (base.key === "my") return ast.attribute(name, "my");
     if (base.key === "target") return ast.attribute(name, "target");
@@ -286,15 +295,17 @@
   return ast.select(base, name);
 }
 
-function opOf(token: IToken): ast.BinaryOp {
+function binaryOpOf(token: IToken): ast.BinaryOp {
   if (tokenMatcher(token, t.Is)) return "=?=";
   if (tokenMatcher(token, t.Isnt)) return "=!=";
   return token.image as ast.BinaryOp;
 }
 
-/** Groups operands by how tightly the operators bind, without recursion: one pass, two stacks. */
-function climb(operands: readonly ast.Node[], ops: readonly ast.BinaryOp[]): ast.Node {
-  const done: {
+/**
+ * Groups operands by operator precedence, without recursion: one pass with a stack of open chains.
+ */
+function groupByPrecedence(operands: readonly ast.Node[], ops: readonly ast.BinaryOp[]): ast.Node {
+  const openChains: {
     level: number;
     first: ast.Node;
     rest: { op: ast.BinaryOp; operand: ast.Node }[];
@@ -302,21 +313,25 @@
   let right = operands[0]!;
   for (let i = 0; i <= ops.length; i++) {
     const op = ops[i];
-    const level = op === undefined ? -1 : ast.levelOf.get(op)!;
-    // What binds more tightly than the next operator is complete with this operand.
-    for (let top = done.at(-1); top !== undefined && top.level > level; top = done.at(-1)) {
+    const level = op === undefined ? -1 : ast.precedenceOf.get(op)!;
+    // This operand completes all chains of a higher precedence than the next operator.
+    for (
+      let top = openChains.at(-1);
+      top !== undefined && top.level > level;
+      top = openChains.at(-1)
+    ) {
       top.rest.at(-1)!.operand = right;
       right = ast.chain(top.level, top.first, top.rest);
-      done.pop();
+      openChains.pop();
     }
     if (op === undefined) break;
-    const top = done.at(-1);
-    const hole = { op, operand: right };
+    const top = openChains.at(-1);
+    const pendingOperand = { op, operand: right };
     if (top !== undefined && top.level === level) {
       top.rest.at(-1)!.operand = right;
-      top.rest.push(hole);
+      top.rest.push(pendingOperand);
     } else {
-      done.push({ level, first: right, rest: [hole] });
+      openChains.push({ level, first: right, rest: [pendingOperand] });
     }
     right = operands[i + 1]!;
   }
@@ -326,38 +341,46 @@
 const grammar = new Grammar();
 
 function parse<T>(text: string, rule: () => T, limits: Limits): T {
-  if (text.length > limits.length) {
-    throw new ClassAdError(`longer than ${limits.length} characters`, 1, 1);
+  if (text.length > limits.textLength) {
+    throw new ClassAdError(`longer than ${limits.textLength} characters`, 1, 1);
   }
   const { tokens, errors } = t.lexer.tokenize(text);
-  const bad = errors[0];
-  if (bad !== undefined) {
-    const at = text[bad.offset];
+  const lexError = errors[0];
+  if (lexError !== undefined) {
+    const character = text[lexError.offset];
     const reason =
-      at === '"' || at === "'" ? "this quote is not closed" : `unexpected character '${at}'`;
-    throw new ClassAdError(reason, bad.line ?? 1, bad.column ?? 1);
+      character === '"' || character === "'"
+        ? "this quote is not closed"
+        : `unexpected character '${character}'`;
+    throw new ClassAdError(reason, lexError.line ?? 1, lexError.column ?? 1);
   }
   grammar.depth = 0;
-  grammar.limit = limits.depth;
+  grammar.maxDepth = limits.depth;
   grammar.input = tokens;
   const result = rule();
-  const [wrong] = grammar.errors;
-  if (wrong === undefined) return result;
-  const expected = JSON.parse(wrong.message) as string[];
-  // At the end there is no token: the place after the last one.
-  const atEnd = wrong.token === undefined || Number.isNaN(wrong.token.startOffset ?? Number.NaN);
-  const last = tokens.at(-1);
-  const line = atEnd ? (last?.startLine ?? 1) : wrong.token.startLine!;
+  const [parseError] = grammar.errors;
+  if (parseError === undefined) return result;
+  const expected = JSON.parse(parseError.message) as string[];
+  // At the end of the input there is no token: report the position after the last one.
+  const atEnd =
+    parseError.token === undefined || Number.isNaN(parseError.token.startOffset ?? Number.NaN);
+  const lastToken = tokens.at(-1);
+  const line = atEnd ? (lastToken?.startLine ?? 1) : parseError.token.startLine!;
   const column = atEnd
-    ? (last?.startColumn ?? 1) + (last?.image.length ?? 0)
-    : wrong.token.startColumn!;
-  throw new ClassAdError(say(expected, atEnd ? undefined : wrong.token), line, column, expected);
+    ? (lastToken?.startColumn ?? 1) + (lastToken?.image.length ?? 0)
+    : parseError.token.startColumn!;
+  throw new ClassAdError(
+    expectedMessage(expected, atEnd ? undefined : parseError.token),
+    line,
+    column,
+    expected,
+  );
 }
 
-/** One expression. @throws ClassAdError with line, column and what was expected */
+/** Parses one expression. @throws ClassAdError with line, column and what was expected */
 export const parseExpression = (text: string, limits: Limits = defaultLimits): ast.Node =>
   parse(text, () => grammar.expression(), limits);
 
-/** `[ a = 1; b = a + 1 ]`. @throws ClassAdError */
-export const parseRecord = (text: string, limits: Limits = defaultLimits): ast.Kind<"ad"> =>
-  parse(text, () => grammar.record(), limits) as ast.Kind<"ad">;
+/** Parses an ad such as `[ a = 1; b = a + 1 ]`. @throws ClassAdError */
+export const parseRecord = (text: string, limits: Limits = defaultLimits): ast.NodeOfKind<"ad"> =>
+  parse(text, () => grammar.record(), limits) as ast.NodeOfKind<"ad">;
--- a/src/classad/print.ts
+++ b/src/classad/print.ts
@@ -1,5 +1,5 @@
 import type { Entry, Node } from "./ast.js";
-import { AbsTime, Bound, Failure, isList, RelTime, type Value } from "./values.js";
+import { AbsTime, Failure, isList, RelTime, ScopedAd, type Value } from "./values.js";
 
 const PLAIN_NAME = /^[A-Za-z_][A-Za-z0-9_]*$/;
 const RESERVED = new Set(["true", "false", "undefined", "error", "is", "isnt"]);
@@ -11,7 +11,7 @@
   "\f": "\\f",
 };
 
-// A control character in a string is written as an octal escape of three digits.
+// Control characters without a short escape are written as three-digit octal escapes.
 const quote = (text: string, mark: string): string =>
   `${mark}${text.replace(mark === '"' ? /[\\"\p{Cc}]/gu : /[\\'\p{Cc}]/gu, (c) =>
     c === "\\" || c === mark
@@ -41,7 +41,7 @@
   return `${text}${sign}${pad(hours)}:${pad(minutes)}`;
 }
 
-/** `1+02:03:04.5`: days, hours, minutes and seconds. */
+/** `1+02:03:04.500`: days, hours, minutes and seconds. */
 export function printRelTime({ seconds }: RelTime): string {
   const all = Math.abs(seconds);
   const days = Math.floor(all / 86_400);
@@ -52,7 +52,7 @@
   return `${seconds < 0 ? "-" : ""}${head}${clock}${fraction > 0 ? `.${String(fraction).padStart(3, "0")}` : ""}`;
 }
 
-/** A value as text that parses to it again. */
+/** The value as text; parsing and evaluating the text gives the value again. */
 export function printValue(value: Value): string {
   switch (typeof value) {
     case "bigint":
@@ -69,63 +69,66 @@
   if (value instanceof Failure) return "error";
   if (value instanceof AbsTime) return `absTime("${printAbsTime(value)}")`;
   if (value instanceof RelTime) return `relTime("${printRelTime(value)}")`;
-  if (value instanceof Bound) return String(value.ad);
+  if (value instanceof ScopedAd) return String(value.ad);
   return isList(value) ? `{ ${value.map(printValue).join(", ")} }` : "error";
 }
 
-// Above the ten levels of binary operators: a sign, and what needs no brackets anywhere.
-const CONDITION = -1;
-const SIGN = 10;
-const PRIMARY = 11;
+// Binary operators have precedence 0 to 9. Conditions bind less tightly, unary operators more
+// tightly, and a primary expression never needs parentheses.
+const CONDITION_PRECEDENCE = -1;
+const UNARY_PRECEDENCE = 10;
+const PRIMARY_PRECEDENCE = 11;
 
-const negative = (value: Value): boolean =>
+const isNegative = (value: Value): boolean =>
   (typeof value === "bigint" && value < 0n) ||
   (typeof value === "number" && (value < 0 || Object.is(value, -0)) && Number.isFinite(value));
 
-function levelOf(node: Node): number {
+function precedenceOf(node: Node): number {
   switch (node.kind) {
     case "condition":
-      return CONDITION;
+      return CONDITION_PRECEDENCE;
     case "chain":
       return node.level;
     case "unary":
-      return SIGN;
+      return UNARY_PRECEDENCE;
     case "literal":
-      return negative(node.value) ? SIGN : PRIMARY;
+      return isNegative(node.value) ? UNARY_PRECEDENCE : PRIMARY_PRECEDENCE;
     default:
-      return PRIMARY;
+      return PRIMARY_PRECEDENCE;
   }
 }
 
-const within = (node: Node, least: number): string =>
-  levelOf(node) < least ? `(${print(node)})` : print(node);
+/** Puts an expression of a lower precedence than `least` into parentheses. */
+const printOperand = (node: Node, least: number): string =>
+  precedenceOf(node) < least ? `(${print(node)})` : print(node);
 
 export const printEntries = (entries: readonly Entry[]): string =>
   entries.length === 0
     ? "[  ]"
     : `[ ${entries.map(({ name, node }) => `${printName(name)} = ${print(node)}`).join("; ")} ]`;
 
-const PREFIX = { any: "", my: "MY.", target: "TARGET.", root: "." } as const;
+const SCOPE_PREFIX = { any: "", my: "MY.", target: "TARGET.", root: "." } as const;
 
 /**
- * The canonical text of an expression: single spaces round operators, and brackets only where they
- * are needed. Parsed again it gives the same text.
+ * The canonical text of an expression: single spaces around operators, and parentheses only where
+ * they are needed. Parsing and printing the text gives the same text.
  */
 export function print(node: Node): string {
   switch (node.kind) {
     case "literal":
       return printValue(node.value);
     case "attribute":
-      return PREFIX[node.where] + printName(node.name);
+      return SCOPE_PREFIX[node.where] + printName(node.name);
     case "unary":
-      return node.op + within(node.operand, SIGN);
+      return node.op + printOperand(node.operand, UNARY_PRECEDENCE);
     case "chain": {
-      let text = within(node.first, node.level);
-      for (const { op, operand } of node.rest) text += ` ${op} ${within(operand, node.level + 1)}`;
+      let text = printOperand(node.first, node.level);
+      for (const { op, operand } of node.rest)
+        text += ` ${op} ${printOperand(operand, node.level + 1)}`;
       return text;
     }
     case "condition": {
-      const test = within(node.test, CONDITION + 1);
+      const test = printOperand(node.test, CONDITION_PRECEDENCE + 1);
       return node.then === null
         ? `${test} ?: ${print(node.otherwise)}`
         : `${test} ? ${print(node.then)} : ${print(node.otherwise)}`;
@@ -137,14 +140,14 @@
     case "call":
       return `${printName(node.name)}(${node.args.map(print).join(", ")})`;
     case "select":
-      return `${selectable(node.base)}.${printName(node.name)}`;
+      return `${printSelectBase(node.base)}.${printName(node.name)}`;
     case "subscript":
-      return `${within(node.base, PRIMARY)}[${print(node.index)}]`;
+      return `${printOperand(node.base, PRIMARY_PRECEDENCE)}[${print(node.index)}]`;
   }
 }
 
-/** `1.x` would be read as a number. */
-function selectable(base: Node): string {
-  const text = within(base, PRIMARY);
-  return base.kind === "literal" && levelOf(base) === PRIMARY ? `(${text})` : text;
+/** Puts a literal into parentheses, because `1.x` would not be read as a selection. */
+function printSelectBase(base: Node): string {
+  const text = printOperand(base, PRIMARY_PRECEDENCE);
+  return base.kind === "literal" && precedenceOf(base) === PRIMARY_PRECEDENCE ? `(${text})` : text;
 }
--- a/src/classad/reads.ts
+++ b/src/classad/reads.ts
@@ -1,27 +1,30 @@
 import type { Ad } from "./ad.js";
-import { below, type Node } from "./ast.js";
-import { lazies } from "./evaluate.js";
+import { children, type Node } from "./ast.js";
+import { lazyFunctions } from "./evaluate.js";
 import { functions } from "./functions/index.js";
 
-/** What an expression of one ad depends on. */
+/** What the value of an expression depends on. */
 export interface Reads {
   /** Attributes that may be looked up in the other ad, in lower case. */
   target: Set<string>;
-  /** Attributes of its own ad, and through them. */
+  /**
+   * Attributes of its own ad that it reads, directly or through other attributes, in lower case.
+   */
   my: Set<string>;
-  /** Whether it asks for the time. */
+  /** Whether it reads the current time. */
   time: boolean;
-  /** Whether it may read anything at all: it evaluates text. */
+  /** Whether it may read any attribute, because it evaluates text with `eval`. */
   anything: boolean;
-  /** Functions that do not exist, as written. */
+  /** Called functions that do not exist, in the case they are written in. */
   unknown: Set<string>;
 }
 
-/** Functions that ask for the time, and those that do when they have no argument. */
-const CLOCK = new Set(["time", "currenttime"]);
-const CLOCK_ALONE = new Set(["abstime", "formattime", "daytime"]);
+/** Functions that read the current time. */
+const TIME_FUNCTIONS = new Set(["time", "currenttime"]);
+/** Functions that read the current time if they are called without an argument. */
+const TIME_FUNCTIONS_WITHOUT_ARGUMENT = new Set(["abstime", "formattime", "daytime"]);
 
-/** Which attributes an expression reads, through those of its own ad. */
+/** Finds what an expression reads, following references to attributes of its own ad. */
 export function reads(node: Node, my: Ad | null): Reads {
   const found: Reads = {
     target: new Set(),
@@ -30,29 +33,37 @@
     anything: false,
     unknown: new Set(),
   };
-  const open: Node[] = [node];
-  for (let next = open.pop(); next !== undefined; next = open.pop()) {
+  const pending: Node[] = [node];
+  for (let next = pending.pop(); next !== undefined; next = pending.pop()) {
     if (next.kind === "attribute") {
       const { key, where } = next;
-      const own = where === "target" ? undefined : my?.get(key);
-      if (own === undefined) {
+      const ownAttribute = where === "target" ? undefined : my?.get(key);
+      if (ownAttribute === undefined) {
         if (where !== "my" && where !== "root") found.target.add(key);
       } else if (!found.my.has(key)) {
         found.my.add(key);
-        open.push(own.node);
+        pending.push(ownAttribute.node);
       }
     } else if (next.kind === "call") {
       const { key, args } = next;
-      if (CLOCK.has(key) || (args.length === 0 && CLOCK_ALONE.has(key))) found.time = true;
+      if (
+        TIME_FUNCTIONS.has(key) ||
+        (args.length === 0 && TIME_FUNCTIONS_WITHOUT_ARGUMENT.has(key))
+      )
+        found.time = true;
       if (next.key === "eval") found.anything = true;
-      if (!functions.has(next.key) && lazies[next.key] === undefined) found.unknown.add(next.name);
+      if (!functions.has(next.key) && lazyFunctions[next.key] === undefined)
+        found.unknown.add(next.name);
     }
-    open.push(...below(next));
+    pending.push(...children(next));
   }
   return found;
 }
 
-/** The clauses of a conjunction, outermost first: what `a && (b || c) && d` is made of. */
+/**
+ * The operands of a conjunction in order, nested ones flattened: `a`, `b || c` and `d` of `a && (b
+ * || c) && d`.
+ */
 export function clauses(node: Node): Node[] {
   if (node.kind !== "chain" || node.rest[0]!.op !== "&&") return [node];
   return [node.first, ...node.rest.map(({ operand }) => operand)].flatMap(clauses);
--- a/src/classad/values.ts
+++ b/src/classad/values.ts
@@ -1,15 +1,15 @@
 import type { Ad } from "./ad.js";
-import type { Frame } from "./run.js";
+import type { Frame } from "./evaluation.js";
 
-/** A value that is not known: an attribute that no ad has. */
+/** The value UNDEFINED, for example of an attribute that no ad has. */
 export const UNDEFINED: unique symbol = Symbol("UNDEFINED");
 
-/** The value ERROR. The reason is for people; all errors are the same value. */
+/** The value ERROR. The reason is only a message for users: all errors are the same value. */
 export class Failure {
   constructor(readonly reason: string) {}
 }
 
-/** A moment: seconds since the epoch, and the offset of its time zone in seconds. */
+/** An absolute time: seconds since the epoch, and the time zone's offset from UTC in seconds. */
 export class AbsTime {
   constructor(
     readonly seconds: number,
@@ -17,23 +17,23 @@
   ) {}
 }
 
-/** A span of time, in seconds. */
+/** A relative time (duration), in seconds. */
 export class RelTime {
   constructor(readonly seconds: number) {}
 }
 
-/** A nested ad, with the place where its attributes are looked up. */
-export class Bound {
+/** An ad as a value, with the scope in which its attributes are evaluated. */
+export class ScopedAd {
   constructor(
     readonly ad: Ad,
-    /** Where it was written; null for an ad that stands alone. */
+    /** Scope in which the ad literal was evaluated; null for an ad that a function made. */
     readonly frame: Frame | null,
   ) {}
 }
 
 /**
- * What an expression is worth. Integers (64 bits, two's complement) are bigints and reals are
- * numbers, so that 1 and 1.0 stay apart; lists are arrays.
+ * The value of an expression. Integers (64 bits, two's complement) are bigints and reals are
+ * numbers, so that 1 and 1.0 stay distinct; lists are arrays.
  */
 export type Value =
   | bigint
@@ -44,7 +44,7 @@
   | Failure
   | AbsTime
   | RelTime
-  | Bound
+  | ScopedAd
   | readonly Value[];
 
 export type TypeName =
@@ -75,7 +75,7 @@
   if (value instanceof Failure) return "error";
   if (value instanceof AbsTime) return "abstime";
   if (value instanceof RelTime) return "reltime";
-  return value instanceof Bound ? "classad" : "list";
+  return value instanceof ScopedAd ? "classad" : "list";
 }
 
 export const isList = (value: Value): value is readonly Value[] => Array.isArray(value);
@@ -83,28 +83,29 @@
 export const isNumber = (value: Value): value is bigint | number =>
   typeof value === "bigint" || typeof value === "number";
 
-/** 64 bits, as published: sums wrap. */
-export const integer = (value: bigint): bigint => BigInt.asIntN(64, value);
+/** Wraps to 64 bits on overflow, as the ClassAd language specifies. */
+export const wrapToInt64 = (value: bigint): bigint => BigInt.asIntN(64, value);
 
-const MOST_INTEGER = 2n ** 63n;
+const INT64_LIMIT = 2n ** 63n;
 
-/** A whole number as an integer; ERROR when it is none or has over 64 bits. */
+/** Truncates a real to an integer; ERROR if it is not finite or does not fit into 64 bits. */
 export function toInteger(value: number): bigint | Failure {
   if (!Number.isFinite(value)) return new Failure("not a finite number");
-  const whole = BigInt(Math.trunc(value));
-  if (whole >= MOST_INTEGER || whole < -MOST_INTEGER) return new Failure("more than 64 bits");
-  return whole;
+  const truncated = BigInt(Math.trunc(value));
+  if (truncated >= INT64_LIMIT || truncated < -INT64_LIMIT)
+    return new Failure("integer does not fit into 64 bits");
+  return truncated;
 }
 
-/** The number that a value counts as in arithmetic: booleans are 0 and 1; null for others. */
+/** The number that stands for a value in arithmetic: booleans are 0 and 1; null for other types. */
 export function numeric(value: Value): bigint | number | null {
   if (typeof value === "boolean") return value ? 1n : 0n;
   return isNumber(value) ? value : null;
 }
 
 /**
- * What a value counts as in `&&`, `||`, `!` and `?:`, and as requirements: numbers other than zero
- * are TRUE. Null for values that are neither true nor false.
+ * The truth value that stands for a value in `&&`, `||`, `!` and `?:`, and as requirements: numbers
+ * other than zero are TRUE. Null for values that are neither true nor false.
  */
 export function truth(value: Value): boolean | null {
   if (typeof value === "boolean") return value;
@@ -113,7 +114,7 @@
   return null;
 }
 
-/** The same type and the same value: `=?=`. Strings are compared with their case, ads by text. */
+/** `=?=`: same type and same value. Strings are compared case-sensitively, ads by their text. */
 export function identical(a: Value, b: Value): boolean {
   const type = typeOf(a);
   if (type !== typeOf(b)) return false;
@@ -122,7 +123,8 @@
     return a.seconds === b.seconds && a.offset === b.offset;
   }
   if (a instanceof RelTime && b instanceof RelTime) return a.seconds === b.seconds;
-  if (a instanceof Bound && b instanceof Bound) return a.ad === b.ad || `${a.ad}` === `${b.ad}`;
+  if (a instanceof ScopedAd && b instanceof ScopedAd)
+    return a.ad === b.ad || `${a.ad}` === `${b.ad}`;
   if (isList(a) && isList(b)) {
     return a.length === b.length && a.every((item, i) => identical(item, b[i]!));
   }
--- a/test/classad-fuzz.test.ts
+++ b/test/classad-fuzz.test.ts
@@ -109,13 +109,13 @@
   .array(fc.tuple(fc.constantFrom("a", "b", "c", "Cpus", "Arch"), tree), { maxLength: 4 })
   .map((entries) => entries.map(([name, node]) => ({ name, node })));
 
-const check = (
+const assertProperty = (
   property: fc.IProperty<unknown> | fc.IPropertyWithHooks<unknown>,
   numRuns: number,
 ): void => fc.assert(property as fc.IProperty<unknown>, { seed: SEED, numRuns });
 
-test("classad: what is printed parses, and prints the same", () => {
-  check(
+test("classad: printed text parses, and prints the same", () => {
+  assertProperty(
     fc.property(tree, (node) => {
       const text = print(node);
       assert.equal(print(parseExpression(text)), text);
@@ -124,18 +124,18 @@
   );
 });
 
-test("classad: compiled expressions are worth what the reference says, within the stated cost", () => {
-  check(
-    fc.property(tree, ads, ads, (written, mine, theirs) => {
-      // Through text, so that both see what a file would give.
-      const node = parseExpression(print(written));
-      const sides = () => ({ my: new Ad(mine), target: new Ad(theirs) });
+test("classad: compiled and folded expressions have the reference's value, within the cost limits", () => {
+  assertProperty(
+    fc.property(tree, ads, ads, (generated, myEntries, targetEntries) => {
+      // Printed and parsed, so that the tree is one that a text can give.
+      const node = parseExpression(print(generated));
+      const sides = () => ({ my: new Ad(myEntries), target: new Ad(targetEntries) });
       const walked = runReference(node, sides(), { now: 5 });
       const compiled = run(compile(node), sides(), { now: 5 });
       const folded = run(compile(fold(node)), sides(), { now: 5 });
       for (const { steps } of [walked, compiled, folded]) {
-        // The step that goes beyond may be that of one function over one text.
-        assert.ok(steps <= defaultLimits.steps + defaultLimits.size, `${steps} steps`);
+        // The call that exceeds the limit on steps may add the steps of one whole text.
+        assert.ok(steps <= defaultLimits.steps + defaultLimits.resultSize, `${steps} steps`);
       }
       assert.equal(printValue(compiled.value), printValue(walked.value));
       assert.equal(printValue(folded.value), printValue(walked.value));
@@ -144,8 +144,8 @@
   );
 });
 
-test("classad: JSON and back is the same ad", () => {
-  check(
+test("classad: a JSON round trip gives the same ad", () => {
+  assertProperty(
     fc.property(ads, (entries) => {
       const ad = new Ad(
         entries.map(({ name, node }) => ({ name, node: parseExpression(print(node)) })),
@@ -156,7 +156,7 @@
   );
 });
 
-test("classad: no text makes the parser throw anything but its own error", () => {
+test("classad: the parser throws nothing but ClassAdError, whatever the text", () => {
   const words = fc.constantFrom(
     "a",
     "1",
@@ -198,7 +198,7 @@
     fc.array(words, { maxLength: 25 }).map((list) => list.join(" ")),
     fc.array(words, { maxLength: 25 }).map((list) => list.join("")),
   );
-  check(
+  assertProperty(
     fc.property(texts, (text) => {
       try {
         const node = parseExpression(text);
@@ -213,7 +213,7 @@
   );
 });
 
-test("submit files: no bytes make the reader throw anything but its own error", () => {
+test("submit files: the reader throws nothing but SubmitError, whatever the bytes", () => {
   const lines = fc.constantFrom(
     "executable = run",
     "accounting_group = red",
@@ -258,8 +258,8 @@
       .array(lines, { maxLength: 10 })
       .map((list) => `executable = run\naccounting_group = red\n${list.join("\n")}\nqueue`),
   );
-  let taken = 0;
-  check(
+  let accepted = 0;
+  assertProperty(
     fc.property(files, (file) => {
       try {
         planCluster({
@@ -271,7 +271,7 @@
           timeZone: "Etc/UTC",
           procs: 100,
         });
-        taken++;
+        accepted++;
       } catch (error) {
         if (!(error instanceof SubmitError)) throw error;
         assert.ok(error.place.line >= 1 && error.place.column >= 1);
@@ -279,5 +279,5 @@
     }),
     1500,
   );
-  assert.ok(taken > 20, `only ${taken} files were read whole`);
+  assert.ok(accepted > 20, `only ${accepted} files were accepted`);
 });
--- a/test/classad.test.ts
+++ b/test/classad.test.ts
@@ -21,13 +21,13 @@
   const expression = Expression.parse(text);
   const sides = { my: my ?? null, target: target ?? null };
   const compiled = printValue(expression.evaluate(sides, { now: NOW }).value);
-  // The reference has to agree in every one of these cases.
+  // The reference implementation has to give the same value in each case.
   const walked = runReference(expression.node, sides, { now: NOW }).value;
   assert.equal(printValue(walked), compiled, `reference of ${text}`);
   return compiled;
 };
 
-/** Groups of an expression and what it is worth, as the language's description says. */
+/** Expressions and their values according to the language's description, by group. */
 const cases: Record<string, [string, string][]> = {
   numbers: [
     ["1 + 2 * 3", "7"],
@@ -218,7 +218,7 @@
   });
 }
 
-test("classad: names are looked up in the own ad, then in the other, whose names see the reverse", () => {
+test("classad: names resolve in MY, then in TARGET, whose expressions see the two ads reversed", () => {
   const my = Ad.parse("[Want = 4; Both = 1; Mine = Theirs]");
   const target = Ad.parse("[Cpus = 8; Both = 2; Theirs = Want + 1; Start = TARGET.Want < MY.Cpus]");
   const rows: [string, string][] = [
@@ -235,7 +235,7 @@
   for (const [text, wanted] of rows) assert.equal(value(text, my, target), wanted, text);
 });
 
-test("classad: an attribute that refers to itself is ERROR, by whatever way", () => {
+test("classad: an attribute that refers to itself, directly or indirectly, is ERROR", () => {
   const my = Ad.parse('[A = B; B = A; C = C + 1; D = TARGET.E; F = eval("F")]');
   const target = Ad.parse("[E = TARGET.D]");
   for (const text of ["A", "B", "C", "D", "F"])
@@ -243,19 +243,19 @@
   assert.equal(value("isError(A)", my, target), "true");
 });
 
-test("classad: cost is bounded, however the expression is built", () => {
+test("classad: an expression that exceeds the cost limits is ERROR", () => {
   const doubling = new Ad();
   for (let i = 0; i < 60; i++) doubling.set(`a${i}`, parseExpression(`a${i + 1} + a${i + 1}`));
   doubling.put("a60", 1n);
   const growing = Ad.parse(
     `[x = strcat(y, y, y, y); y = strcat(z, z, z, z); z = "${"a".repeat(20_000)}"]`,
   );
-  const far = new Ad();
-  for (let i = 0; i < 1000; i++) far.set(`b${i}`, parseExpression(`b${i + 1}`));
+  const longChain = new Ad();
+  for (let i = 0; i < 1000; i++) longChain.set(`b${i}`, parseExpression(`b${i + 1}`));
   const rows: [string, Ad][] = [
     ["a0", doubling],
     ["x", growing],
-    ["b0", far],
+    ["b0", longChain],
     [`regexp("(x+x+)+y", "${"x".repeat(5000)}") || a0`, doubling],
   ];
   for (const [text, my] of rows) {
@@ -263,12 +263,12 @@
     assert.ok(found instanceof Failure, text);
     assert.ok(steps <= defaultLimits.steps + 1, `${text}: ${steps} steps`);
   }
-  // What stands beside a bound that is reached cannot hide it.
+  // No enclosing expression can hide that a limit was exceeded.
   assert.equal(value("isError(a0)", doubling), "error");
   assert.equal(value("true || a0", doubling), "true");
 });
 
-test("classad: what is wrong is told with line, column and what was expected", () => {
+test("classad: a syntax error gives line, column and what was expected", () => {
   const rows: [string, string][] = [
     ["1 +", "1:4: expected a value, a name, '.', '(', '{' or '[', found the end"],
     ["(1", "1:3: expected ')', found the end"],
@@ -294,11 +294,11 @@
   }
 });
 
-test("classad: a pattern that would be large is refused before it is compiled", () => {
+test("classad: an oversized pattern is rejected before it is compiled", () => {
   const rows: [string, string][] = [
-    [`((${"ab".repeat(200)}){30}){33}`, "a pattern with too many repeats"],
-    ["((a{100}){100}){100}", "a pattern with too many repeats"],
-    [`(${"a|b".repeat(342)})`, "a pattern of over 1024 characters"],
+    [`((${"ab".repeat(200)}){30}){33}`, "pattern has too many nested repeats"],
+    ["((a{100}){100}){100}", "pattern has too many nested repeats"],
+    [`(${"a|b".repeat(342)})`, "pattern is longer than 1024 characters"],
     ["a{3,5}b{10}", ""],
   ];
   for (const [pattern, reason] of rows) {
@@ -309,13 +309,13 @@
   }
 });
 
-test("classad: thousands of clauses are one level deep", () => {
+test("classad: a chain of thousands of clauses is one level deep", () => {
   const text = Array.from({ length: 4000 }, (_, i) => `m == "n${i}"`).join(" || ");
   assert.equal(value(text, Ad.parse('[m = "n3999"]')), "true");
   assert.equal(value(`1${" + 1".repeat(15_000)}`), "15001");
 });
 
-test("classad: canonical text has brackets where they are needed, and no others", () => {
+test("classad: canonical text has the parentheses that are needed, and no others", () => {
   const rows: [string, string][] = [
     ["((a)&&(b))||c", "a && b || c"],
     ["a&&(b||c)", "a && (b || c)"],
@@ -335,7 +335,7 @@
   for (const [text, wanted] of rows) assert.equal(print(parseExpression(text)), wanted, text);
 });
 
-test("classad: an expression knows what it reads, also through its own ad", () => {
+test("classad: reads() finds all that an expression reads, also through its own ad", () => {
   const my = Ad.parse("[Mine = Arch == Wanted; Wanted = 1; Loop = Loop]");
   const found = Expression.parse("Mine && TARGET.Cpus > time() && Loop && noSuch(1)").reads(my);
   assert.deepEqual([...found.target].sort(), ["arch", "cpus"]);
@@ -347,7 +347,7 @@
   assert.deepEqual(parts, ["a", "b || c", "d", "e"]);
 });
 
-test("classad: JSON both ways keeps integers, reals, expressions and text apart", () => {
+test("classad: a JSON round trip keeps integers, reals, expressions and text distinct", () => {
   const text =
     '[ a = 1; b = 1.0; c = "x"; d = a + 1; e = { 1, "y" }; f = [ g = undefined ]; h = "/Expr(1)/"; i = 9007199254740993; j = 2.5; __proto__ = 3 ]';
   const json = toJson(Ad.parse(text));
@@ -357,7 +357,7 @@
   assert.throws(() => fromJson({ a: "/Expr(1 +)/" }), ClassAdError);
 });
 
-test("classad: the form with one attribute a line, with the line of a mistake", () => {
+test("classad: parseLines reads one attribute per line and gives the line of an error", () => {
   const ad = Ad.parseLines(
     '# a machine\nArch = "X86_64"\r\nMemory=2048\n\nStart = Memory == 2048\n',
   );
--- a/test/measure/classad.ts
+++ b/test/measure/classad.ts
@@ -1,6 +1,6 @@
 /**
- * What expressions and files cost (this machine). Run by `npm run measure:classad`; not part of the
- * tests.
+ * Measures the cost of expressions and of submit files on this machine. Run by
+ * `npm run measure:classad`; not part of the tests.
  */
 import { Ad, Expression, parseExpression, runReference } from "../../src/classad/index.js";
 import { planCluster } from "../../src/submit/index.js";
@@ -14,20 +14,22 @@
   '[ Arch = "X86_64"; OpSys = "LINUX"; TotalMemory = 8 * 1024; MachineType = "t12"; Cpus = 8 ]',
 );
 
-function rate(what: string, times: number, run: () => void): void {
-  for (let i = 0; i < times / 4; i++) run();
+function printRate(label: string, repetitions: number, run: () => void): void {
+  for (let i = 0; i < repetitions / 4; i++) run();
   const start = process.hrtime.bigint();
-  for (let i = 0; i < times; i++) run();
+  for (let i = 0; i < repetitions; i++) run();
   const seconds = Number(process.hrtime.bigint() - start) / 1e9;
-  process.stdout.write(`${what}: ${Math.round(times / seconds).toLocaleString("en")} a second\n`);
+  process.stdout.write(
+    `${label}: ${Math.round(repetitions / seconds).toLocaleString("en")} per second\n`,
+  );
 }
 
 const expression = Expression.parse(TEXT);
 const node = parseExpression(TEXT);
-rate("parse, 5 clauses", 4000, () => parseExpression(TEXT));
-rate("parse and compile", 4000, () => Expression.parse(TEXT));
-rate("evaluate, compiled", 100_000, () => expression.evaluate({ my, target }));
-rate("evaluate, reference", 40_000, () => runReference(node, { my, target }));
+printRate("parse, 5 clauses", 4000, () => parseExpression(TEXT));
+printRate("parse and compile", 4000, () => Expression.parse(TEXT));
+printRate("evaluate, compiled", 100_000, () => expression.evaluate({ my, target }));
+printRate("evaluate, reference", 40_000, () => runReference(node, { my, target }));
 const file = `executable = run
 accounting_group = red
 request_cpus = $(n)
@@ -38,7 +40,7 @@
 3
 )
 `;
-rate("read a file of 30 procs", 100, () =>
+printRate("read a file of 30 procs", 100, () =>
   planCluster({
     file: "a.sub",
     world: textWorld({ "a.sub": file }),
@@ -74,10 +76,10 @@
   },
 }));
 globalThis.gc?.();
-const before = process.memoryUsage().heapUsed;
+const heapBefore = process.memoryUsage().heapUsed;
 for (const spec of specs) matcher.prospect(spec);
 globalThis.gc?.();
-const bytes = (process.memoryUsage().heapUsed - before) / specs.length;
+const bytesPerJob = (process.memoryUsage().heapUsed - heapBefore) / specs.length;
 process.stdout.write(
-  `a live job's ad, compiled and answered for 24 kinds: ${Math.round(bytes)} bytes\n`,
+  `ad of an open job, compiled and matched with 24 kinds: ${Math.round(bytesPerJob)} bytes\n`,
 );
