--- a/src/classad/compile.ts
+++ b/src/classad/compile.ts
@@ -44,8 +44,8 @@
       return foldChain(node);
     case "condition": {
       const test = fold(node.test);
-      const is = test.kind === "literal" ? truth(test.value) : null;
-      if (node.then !== null && is !== null) return fold(is ? node.then : node.otherwise);
+      const isTrue = test.kind === "literal" ? truth(test.value) : null;
+      if (node.then !== null && isTrue !== null) return fold(isTrue ? node.then : node.otherwise);
       return ast.condition(test, node.then && fold(node.then), fold(node.otherwise));
     }
     case "list":
@@ -136,9 +136,9 @@
         const value = test(frame);
         if (then === null) return value === UNDEFINED ? otherwise(frame) : value;
         if (value instanceof Failure || value === UNDEFINED) return value;
-        const is = truth(value);
-        if (is === null) return new Failure("the condition of ?: is neither true nor false");
-        return is ? then(frame) : otherwise(frame);
+        const isTrue = truth(value);
+        if (isTrue === null) return new Failure("the condition of ?: is neither true nor false");
+        return isTrue ? then(frame) : otherwise(frame);
       };
     }
     case "list": {
--- a/src/classad/evaluate.ts
+++ b/src/classad/evaluate.ts
@@ -34,9 +34,9 @@
       if (node.then === null)
         return test === UNDEFINED ? evaluateTree(node.otherwise, frame) : test;
       if (test instanceof Failure || test === UNDEFINED) return test;
-      const is = truth(test);
-      if (is === null) return new Failure("the condition of ?: is neither true nor false");
-      return evaluateTree(is ? node.then : node.otherwise, frame);
+      const isTrue = truth(test);
+      if (isTrue === null) return new Failure("the condition of ?: is neither true nor false");
+      return evaluateTree(isTrue ? node.then : node.otherwise, frame);
     }
     case "list":
       return checkListSize(
@@ -165,9 +165,10 @@
     run: ([test, then, otherwise], frame, evaluate) => {
       const value = evaluate(test!, frame);
       if (value instanceof Failure || value === UNDEFINED) return value;
-      const is = truth(value);
-      if (is === null) return new Failure("the condition of ifThenElse is neither true nor false");
-      return evaluate(is ? then! : otherwise!, frame);
+      const isTrue = truth(value);
+      if (isTrue === null)
+        return new Failure("the condition of ifThenElse is neither true nor false");
+      return evaluate(isTrue ? then! : otherwise!, frame);
     },
   },
   eval: {
--- a/src/classad/functions/numbers.ts
+++ b/src/classad/functions/numbers.ts
@@ -45,8 +45,7 @@
     max: 2,
     strict: true,
     run: ([base, exponent]) => {
-      // The exponent is limited because the exact power is computed before it is wrapped to 64
-      // bits.
+      // The exponent is limited, because the exact power is computed and then wrapped to 64 bits.
       if (typeof base === "bigint" && typeof exponent === "bigint" && exponent >= 0n) {
         if (exponent < 64n) return wrapToInt64(base ** exponent);
       }
--- a/src/classad/operators.ts
+++ b/src/classad/operators.ts
@@ -21,8 +21,8 @@
   if (value instanceof Failure || value === UNDEFINED) return value;
   switch (op) {
     case "!": {
-      const is = truth(value);
-      return is === null ? typeMismatch("!", value) : !is;
+      const isTrue = truth(value);
+      return isTrue === null ? typeMismatch("!", value) : !isTrue;
     }
     case "~":
       return typeof value === "bigint"
@@ -48,19 +48,19 @@
   if (op !== "||" && op !== "&&") return null;
   if (left instanceof Failure) return left;
   if (left === UNDEFINED) return null;
-  const is = truth(left);
-  if (is === null) return typeMismatch(op, left);
-  return is === (op === "||") ? is : null;
+  const isTrue = truth(left);
+  if (isTrue === null) return typeMismatch(op, left);
+  return isTrue === (op === "||") ? isTrue : null;
 }
 
 /** Three-valued logic, for a left operand that does not determine the result by itself. */
 function threeValuedLogic(op: "||" | "&&", left: Value, right: Value): Value {
   if (right instanceof Failure) return right;
   if (right === UNDEFINED) return UNDEFINED;
-  const is = truth(right);
-  if (is === null) return typeMismatch(op, right);
-  if (is === (op === "||")) return is;
-  return left === UNDEFINED ? UNDEFINED : is;
+  const isTrue = truth(right);
+  if (isTrue === null) return typeMismatch(op, right);
+  if (isTrue === (op === "||")) return isTrue;
+  return left === UNDEFINED ? UNDEFINED : isTrue;
 }
 
 export function applyBinary(op: BinaryOp, left: Value, right: Value): Value {
--- a/src/classad/print.ts
+++ b/src/classad/print.ts
@@ -73,8 +73,8 @@
   return isList(value) ? `{ ${value.map(printValue).join(", ")} }` : "error";
 }
 
-// Binary operators have precedence 0 to 9. Conditions bind less tightly, unary operators more
-// tightly, and a primary expression never needs parentheses.
+// The ten levels of binary operators have precedence 0 to 9. Conditions bind less tightly, unary
+// operators more tightly, and a primary expression never needs parentheses.
 const CONDITION_PRECEDENCE = -1;
 const UNARY_PRECEDENCE = 10;
 const PRIMARY_PRECEDENCE = 11;
