--- a/src/archive/shared.ts
+++ b/src/archive/coalesced-reads.ts
@@ -1,22 +1,23 @@
 /**
- * One reading for many askers. Whoever asks while a reading is on its way gets the next one: that
- * one begins after they asked, so it shows everything that anybody was told before.
+ * Shares one read between concurrent callers. A caller that arrives while a read is in flight gets
+ * the result of the next read: it begins after the call, so it shows everything that was reported to
+ * anyone before the call.
  */
-export class Shared<T> {
+export class CoalescedReads<T> {
   readonly #running = new Map<string, { next: Promise<T> | null }>();
 
   run(name: string, read: () => Promise<T>): Promise<T> {
     const running = this.#running.get(name);
     if (running === undefined) return this.#start(name, read);
     running.next ??= new Promise<T>((resolve, reject) => {
-      this.#after(name, () => this.#start(name, read).then(resolve, reject));
+      this.#startAfter(name, () => this.#start(name, read).then(resolve, reject));
     });
     return running.next;
   }
 
   readonly #queued = new Map<string, () => void>();
 
-  #after(name: string, run: () => void): void {
+  #startAfter(name: string, run: () => void): void {
     this.#queued.set(name, run);
   }
 
--- a/src/archive/index.ts
+++ b/src/archive/index.ts
@@ -1,30 +1,30 @@
 /**
- * The archive of jobs that are over: their final states for good, in packed records that nobody
- * watches. Loaded when a deployment has an archive, or when there is enough to begin one;
- * `docs/state.md` says how it works, why its rules hold and what was weighed against it.
+ * The archive of finished jobs: keeps their final states permanently, in packed records outside the
+ * watched keys. Loaded when a deployment has an archive, or has enough finished jobs to create one.
+ * `docs/state.md` explains how it works, why its rules hold and which alternatives were considered.
  */
 import type { Core } from "../extension/index.js";
 import { decodeLeaf } from "./leaf.js";
 import { Lookups } from "./lookups.js";
 
-export { beginArchive, behind } from "./begin.js";
+export { beginArchive, behind } from "./begin-archive.js";
+export { type Candidates, Mover } from "./job-mover.js";
 export {
-  beforeLeaf,
   CorruptLeaf,
   covers,
   decodeLeaf,
   type Entry,
   encodeLeaf,
-  findIn,
+  findOutcome as findIn,
   LAST,
   type Leaf,
   type LeafRecord,
-  lastOf,
+  lastIdOf as lastOf,
   leafKey,
+  listingStartOf as beforeLeaf,
 } from "./leaf.js";
 export { type Guard, Lookups } from "./lookups.js";
-export { type Candidates, Mover } from "./mover.js";
-export { leafBytes, type Move, type PlanLimits, planMove } from "./plan.js";
+export { leafBytes, type Move, type PlanLimits, planMove } from "./move-plan.js";
 
 export function openArchive({ store, clock, log, layout }: Core): Lookups {
   store.writable.add(/^a\/j\//, (value, key) => {
--- a/src/archive/leaf.ts
+++ b/src/archive/leaf.ts
@@ -1,7 +1,7 @@
 /**
- * A leaf holds the final states of all archived jobs whose ids lie in a range. Its key is made of
- * the last id of the range; so the first key at or after an id is the leaf that the id belongs to,
- * and the service finds it by itself: there is no directory to keep, to read or to lose.
+ * A leaf holds the final states of all archived jobs whose ids lie in a range. Its key contains the
+ * last id of the range, so the first key at or after an id is the leaf that the id belongs to. The
+ * state service finds it with one listing; no separate index has to be stored or read, or can be lost.
  */
 
 import type { JobOutcome } from "../jobs/job-outcome.js";
@@ -10,113 +10,117 @@
 import type { Row } from "../state/store.js";
 import { isMap } from "../wire/cbor.js";
 
-/** Beyond every id: the end of the last range. */
+/** Sorts after every id: the end of the last range. */
 export const LAST = "~";
 
 /**
- * The key of the range that ends with an id. "," sorts before all that an id consists of: without
- * it an id would not sort behind a key made of its own beginning.
+ * The key of the range that ends with an id. "," sorts before all characters of an id: without it,
+ * an id would not sort after the key of an id that is its prefix.
  */
 export const leafKey = (last: string): string =>
   last === LAST ? `${keys.archive}${LAST}` : `${keys.archive}${last},`;
 
-/** The key after which the leaf of an id is the first one. */
-export const beforeLeaf = (id: string): string => `${keys.archive}${id}`;
+/** The key to list from: the first key after it is the leaf of the id. */
+export const listingStartOf = (id: string): string => `${keys.archive}${id}`;
 
-/** The last id of a leaf, by its key; null for a key that is none. */
-export function lastOf(key: string): string | null {
+/** The last id of a leaf's range, from its key; null if it is not the key of a leaf. */
+export function lastIdOf(key: string): string | null {
   const name = key.slice(keys.archive.length);
   if (name === LAST) return LAST;
   return name.endsWith(",") ? name.slice(0, -1) : null;
 }
 
-/** As the store has it. Texts only, and short names: it is counted as JSON. */
+/** A leaf as stored. Text and short names, because the service limits the size of the JSON. */
 export interface LeafRecord {
-  /** The range begins behind this id; "" is the very beginning. */
+  /** The range begins after this id; "" for the first range. */
   f: string;
-  /** How many jobs. */
+  /** Number of jobs. */
   n: number;
-  /** Seconds since the epoch from which the times in `d` count. */
+  /** Base of the times in `d`: seconds since the epoch. */
   b: number;
-  /** Teams, named by their place in this list. */
+  /** Teams; `d` refers to them by position, from 1. */
   t: string[];
-  /** The jobs in order of their ids; see `encodeLeaf`. */
+  /** The jobs in order of id; see `encodeLeaf`. */
   d: string;
-  /** Checksum over the rest. */
+  /** Checksum of the other fields. */
   c: number;
 }
 
-export type Entry = readonly [id: string, past: JobOutcome];
+export type Entry = readonly [id: string, outcome: JobOutcome];
 
 export interface Leaf {
   key: string;
   version: number;
-  /** Ids behind `from`, up to and with `last`. */
+  /** The range: ids greater than `from`, up to and including `last`. */
   from: string;
   last: string;
   entries: Entry[];
 }
 
-/** A leaf that is missing, cannot be read or does not add up: nothing is known of its range. */
+/** A leaf is missing, unreadable or inconsistent: the jobs in its range are unknown. */
 export class CorruptLeaf extends Error {
   constructor(
     readonly key: string,
     reason: string,
   ) {
-    super(`archive ${key}: ${reason}`);
+    super(`archive leaf ${key}: ${reason}`);
   }
 }
 
-const DIGITS = "0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz";
-const MOST_SHARED = DIGITS.length - 1;
+const BASE62_DIGITS = "0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz";
+const MAX_SHARED_PREFIX = BASE62_DIGITS.length - 1;
 
-const sumOf = ({ f, n, b, t, d }: Omit<LeafRecord, "c">): number =>
+const checksumOf = ({ f, n, b, t, d }: Omit<LeafRecord, "c">): number =>
   hash(`${f} ${n} ${b} ${t.join(" ")} ${d}`);
 
-const seconds = (ms: number): number => Math.round(ms / 1000);
+const toSeconds = (ms: number): number => Math.round(ms / 1000);
 const base36 = (value: number): string => (value === 0 ? "" : value.toString(36));
 
 /**
- * Jobs are separated by blanks. Of each: how much of the id it shares with the one before (one
- * digit of base 62), the rest of the id, then after colons: `d` or `c` and the number of tasks; of
- * cancelled jobs the number done; when it was accepted; how long after that it was over (`-`:
- * unknown); its team's place. Numbers in base 36, 0 as nothing, and what is empty at the end is
- * left out. About 16 bytes a job.
+ * Jobs are separated by spaces. Each begins with the length of the prefix that its id shares with
+ * the id before (one base-62 digit) and the rest of the id. Then, separated by colons: `d` (done) or
+ * `c` (cancelled) and the number of tasks; for cancelled jobs the number of tasks done; the time of
+ * acceptance; the time from acceptance to the end (`-`: unknown); the team's position. Numbers are in
+ * base 36, 0 is an empty field, and empty fields at the end are omitted. About 16 bytes per job.
  */
 export function encodeLeaf(from: string, entries: readonly Entry[]): LeafRecord {
-  const b = entries.reduce((least, [, { at }]) => Math.min(least, seconds(at)), Infinity);
-  const base = Number.isFinite(b) ? b : 0;
+  const earliest = entries.reduce((least, [, { at }]) => Math.min(least, toSeconds(at)), Infinity);
+  const base = Number.isFinite(earliest) ? earliest : 0;
   const t: string[] = [];
-  const places = new Map<string, number>();
+  const teamNumbers = new Map<string, number>();
   const items: string[] = [];
-  let before = "";
+  let previousId = "";
   for (const [id, { status, tasks, done, at, over, team }] of entries) {
     let shared = 0;
-    while (shared < MOST_SHARED && shared < before.length && before[shared] === id[shared]) {
+    while (
+      shared < MAX_SHARED_PREFIX &&
+      shared < previousId.length &&
+      previousId[shared] === id[shared]
+    ) {
       shared++;
     }
-    before = id;
-    let place = "";
+    previousId = id;
+    let teamField = "";
     if (team !== null) {
-      let known = places.get(team);
-      if (known === undefined) {
-        known = t.push(team);
-        places.set(team, known);
+      let teamNumber = teamNumbers.get(team);
+      if (teamNumber === undefined) {
+        teamNumber = t.push(team);
+        teamNumbers.set(team, teamNumber);
       }
-      place = base36(known);
+      teamField = base36(teamNumber);
     }
     const fields = [
-      `${DIGITS[shared]}${id.slice(shared)}`,
+      `${BASE62_DIGITS[shared]}${id.slice(shared)}`,
       `${status === "done" ? "d" : "c"}${base36(tasks)}`,
       status === "done" ? "" : base36(done),
-      base36(seconds(at) - base),
-      over === null ? "-" : base36(Math.max(0, seconds(over) - seconds(at))),
-      place,
+      base36(toSeconds(at) - base),
+      over === null ? "-" : base36(Math.max(0, toSeconds(over) - toSeconds(at))),
+      teamField,
     ];
     items.push(fields.join(":").replace(/:+$/, ""));
   }
   const body = { f: from, n: entries.length, b: base, t, d: items.join(" ") };
-  return { ...body, c: sumOf(body) };
+  return { ...body, c: checksumOf(body) };
 }
 
 const isRecord = (value: unknown): value is LeafRecord =>
@@ -130,61 +134,64 @@
   value.t.every((team) => typeof team === "string");
 
 /**
- * Reads a leaf and checks all of it: its sum, the order of its ids and that they lie in its range.
+ * Decodes a leaf and verifies its checksum, the order of its ids and that they lie in its range.
  * @throws CorruptLeaf
  */
 export function decodeLeaf({ key, value, version }: Row): Leaf {
   const corrupt = (reason: string): never => {
     throw new CorruptLeaf(key, reason);
   };
-  const last = lastOf(key) ?? corrupt("not the key of a leaf");
-  if (!isRecord(value)) return corrupt("not a leaf");
-  if (sumOf(value) !== value.c) corrupt("the checksum is wrong");
+  const last = lastIdOf(key) ?? corrupt('the key does not end in "," or "~"');
+  if (!isRecord(value)) return corrupt("the value is not a leaf record");
+  if (checksumOf(value) !== value.c) corrupt(`checksum mismatch: expected ${value.c}`);
   const { f, n, b, t, d } = value;
   const entries: Entry[] = [];
-  let before = "";
-  const number = (text: string | undefined): number => {
+  let previousId = "";
+  const parseNumber = (text: string | undefined): number => {
     if (text === undefined || text === "") return 0;
     const parsed = Number.parseInt(text, 36);
-    if (!Number.isFinite(parsed)) corrupt(`not a number: ${text}`);
+    if (!Number.isFinite(parsed)) corrupt(`expected a base-36 number, got "${text}"`);
     return parsed;
   };
   for (const item of d === "" ? [] : d.split(" ")) {
-    const [name = "", state = "", done, at, over, place] = item.split(":");
-    const shared = DIGITS.indexOf(name[0] ?? "!");
-    if (shared < 0 || shared > before.length) corrupt("an id that continues nothing");
-    const id = before.slice(0, shared) + name.slice(1);
-    const behind = before === "" ? f : before;
-    if (id <= behind || (last !== LAST && id > last)) corrupt(`${id} is out of order`);
-    before = id;
-    const status = state[0] === "d" ? "done" : state[0] === "c" ? "cancelled" : null;
-    if (status === null) return corrupt(`${id}: neither done nor cancelled`);
-    const tasks = number(state.slice(1));
-    const start = (b + number(at)) * 1000;
-    const team = number(place);
-    if (team > t.length) corrupt(`${id}: no such team`);
+    const [idField = "", statusField = "", done, at, over, teamField] = item.split(":");
+    const shared = BASE62_DIGITS.indexOf(idField[0] ?? "!");
+    if (shared < 0 || shared > previousId.length)
+      corrupt(`job "${item}" shares a prefix with "${previousId}" that is longer than it`);
+    const id = previousId.slice(0, shared) + idField.slice(1);
+    const lowerBound = previousId === "" ? f : previousId;
+    if (id <= lowerBound || (last !== LAST && id > last))
+      corrupt(`job ${id} is out of order or outside the range`);
+    previousId = id;
+    const status = statusField[0] === "d" ? "done" : statusField[0] === "c" ? "cancelled" : null;
+    if (status === null)
+      return corrupt(`job ${id}: expected status "d" or "c", got "${statusField}"`);
+    const tasks = parseNumber(statusField.slice(1));
+    const acceptedMs = (b + parseNumber(at)) * 1000;
+    const teamNumber = parseNumber(teamField);
+    if (teamNumber > t.length) corrupt(`job ${id}: team ${teamNumber} of ${t.length}`);
     entries.push([
       id,
       {
         status,
         tasks,
-        done: status === "done" ? tasks : number(done),
-        at: start,
-        over: over === "-" ? null : start + number(over) * 1000,
-        team: team === 0 ? null : t[team - 1]!,
+        done: status === "done" ? tasks : parseNumber(done),
+        at: acceptedMs,
+        over: over === "-" ? null : acceptedMs + parseNumber(over) * 1000,
+        team: teamNumber === 0 ? null : t[teamNumber - 1]!,
       },
     ]);
   }
-  if (entries.length !== n) corrupt(`${entries.length} jobs where ${n} should be`);
+  if (entries.length !== n) corrupt(`expected ${n} jobs, got ${entries.length}`);
   return { key, version, from: f, last, entries };
 }
 
-/** Whether an id belongs to a leaf. */
+/** Whether an id lies in a leaf's range. */
 export const covers = (leaf: Pick<Leaf, "from" | "last">, id: string): boolean =>
   id > leaf.from && (leaf.last === LAST || id <= leaf.last);
 
-/** @returns the place of an id, or that where it would have to be put, as `-place - 1` */
-export function placeIn(entries: readonly Entry[], id: string): number {
+/** @returns the index of an id, or `-index - 1` with the index where it would be inserted */
+export function searchEntries(entries: readonly Entry[], id: string): number {
   let from = 0;
   let to = entries.length;
   while (from < to) {
@@ -197,7 +204,7 @@
   return -from - 1;
 }
 
-export function findIn(entries: readonly Entry[], id: string): JobOutcome | null {
-  const place = placeIn(entries, id);
+export function findOutcome(entries: readonly Entry[], id: string): JobOutcome | null {
+  const place = searchEntries(entries, id);
   return place < 0 ? null : entries[place]![1];
 }
--- a/src/archive/lookups.ts
+++ b/src/archive/lookups.ts
@@ -5,31 +5,39 @@
 import { Admission } from "../state/admission.js";
 import { keys } from "../state/keys.js";
 import { type Condition, Refused, type Store } from "../state/store.js";
-import { beforeLeaf, CorruptLeaf, covers, decodeLeaf, findIn, type Leaf, leafKey } from "./leaf.js";
-import { Shared } from "./shared.js";
+import { CoalescedReads } from "./coalesced-reads.js";
+import {
+  CorruptLeaf,
+  covers,
+  decodeLeaf,
+  findOutcome,
+  type Leaf,
+  leafKey,
+  listingStartOf,
+} from "./leaf.js";
 
-/** What a new job depends on: that it is not in the archive, as it was when it was looked up. */
+/** The outcome of an archived job, or the conditions under which it is not in the archive. */
 export type Guard = { past: JobOutcome } | { when: Condition[] };
 
-/** Bytes of leaves in memory. */
-const CACHED = 4 * 1024 * 1024;
+/** Upper bound on the estimated size of cached leaves. */
+const CACHE_BYTES = 4 * 1024 * 1024;
 
-/** How often a look-up goes on when leaves are divided under its eyes. */
-const TRIES = 4;
+/** Attempts of a lookup if the leaf is split concurrently. */
+const MAX_ATTEMPTS = 4;
 
 /**
- * Finds archived jobs. What has been read is kept: that a job is in the archive stays true, so it
- * is answered from memory; that it is not is only ever told from a reading that began after the
- * question, or made a condition of the transaction that relies on it.
+ * Looks up archived jobs and caches the leaves read. A job never leaves the archive, so a cached
+ * entry may be returned. Its absence may become untrue: it is only reported from a read that began
+ * after the request, or is made a condition of the transaction that relies on it.
  */
 export class Lookups {
-  /** Leaves by their last id, as they were when they were read. */
+  /** Leaves by the last id of their range, as of when they were read. */
   readonly #cache: LRUCache<string, Leaf>;
-  /** The last ids of those, in order. */
-  readonly #lasts: string[] = [];
+  /** The keys of the cache, sorted. */
+  readonly #cachedLastIds: string[] = [];
   readonly #admission: Admission;
-  readonly #shared = new Shared<Leaf>();
-  readonly #reported = new Set<string>();
+  readonly #leafReads = new CoalescedReads<Leaf>();
+  readonly #reportedKeys = new Set<string>();
   reads = 0;
 
   constructor(
@@ -38,113 +46,122 @@
     readonly log: Log,
     controllers: number,
   ) {
-    // A quarter of what a controller may ask the service for, so that whoever polls for jobs of
-    // long ago, or for jobs that never were, leaves the rest to the work.
+    // A quarter of a controller's share of the request rate: polls for old or unknown jobs must not
+    // use up the requests that scheduling needs.
     this.#admission = new Admission(store.limits.rps / (4 * Math.max(1, controllers)), clock);
     this.#cache = new LRUCache<string, Leaf>({
-      maxSize: CACHED,
-      // An entry with its texts takes some 200 bytes of the heap.
+      maxSize: CACHE_BYTES,
+      // An entry with its strings takes about 200 bytes of heap.
       sizeCalculation: ({ entries }) => 1000 + entries.length * 200,
       dispose: (_leaf, last, why) => {
         if (why === "set") return;
-        const at = this.#place(last);
-        if (this.#lasts[at] === last) this.#lasts.splice(at, 1);
+        const at = this.#lowerBound(last);
+        if (this.#cachedLastIds[at] === last) this.#cachedLastIds.splice(at, 1);
       },
     });
   }
 
-  /** The place of the first cached last id that is not before an id. */
-  #place(id: string): number {
+  /** The index of the first cached last id that is not less than an id. */
+  #lowerBound(id: string): number {
     let from = 0;
-    let to = this.#lasts.length;
+    let to = this.#cachedLastIds.length;
     while (from < to) {
       const middle = (from + to) >> 1;
-      if (this.#lasts[middle]! < id) from = middle + 1;
+      if (this.#cachedLastIds[middle]! < id) from = middle + 1;
       else to = middle;
     }
     return from;
   }
 
-  /** What is remembered of the leaf that an id is in; it may have changed since. */
-  known(id: string): Leaf | null {
-    const last = this.#lasts[this.#place(id)];
+  /** The cached leaf that covers an id, which may be stale, or null. */
+  cachedLeaf(id: string): Leaf | null {
+    const last = this.#cachedLastIds[this.#lowerBound(id)];
     const leaf = last === undefined ? undefined : this.#cache.get(last);
     return leaf !== undefined && covers(leaf, id) ? leaf : null;
   }
 
-  /** Takes in a leaf as it was read or written; an older one than known changes nothing. */
-  keep(leaf: Leaf): void {
-    const known = this.#cache.peek(leaf.last);
-    if (known !== undefined && known.version >= leaf.version) return;
+  /** Caches a leaf as it was read or written, unless the cached one is as new. */
+  cacheLeaf(leaf: Leaf): void {
+    const cached = this.#cache.peek(leaf.last);
+    if (cached !== undefined && cached.version >= leaf.version) return;
     this.#cache.set(leaf.last, leaf);
-    const at = this.#place(leaf.last);
-    if (this.#lasts[at] !== leaf.last && this.#cache.has(leaf.last)) {
-      this.#lasts.splice(at, 0, leaf.last);
+    const at = this.#lowerBound(leaf.last);
+    if (this.#cachedLastIds[at] !== leaf.last && this.#cache.has(leaf.last)) {
+      this.#cachedLastIds.splice(at, 0, leaf.last);
     }
   }
 
-  /** A condition on a leaf did not hold: it is not as it is remembered. */
+  /** Drops a leaf from the cache, after a condition on it failed or a write of it got no answer. */
   changed(key: string): void {
     if (!key.startsWith(keys.archive)) return;
-    for (const last of this.#lasts) {
+    for (const last of this.#cachedLastIds) {
       if (leafKey(last) !== key) continue;
       this.#cache.delete(last);
       return;
     }
   }
 
-  /** A final state that is remembered. */
+  /** The final state of a job if it is in a cached leaf, or null. */
   recall(id: string): JobOutcome | null {
-    const leaf = this.known(id);
-    return leaf === null ? null : findIn(leaf.entries, id);
+    const leaf = this.cachedLeaf(id);
+    return leaf === null ? null : findOutcome(leaf.entries, id);
   }
 
   /**
-   * The final state of an archived job; null for one that is not in the archive, as the store had
-   * it at some moment after the call.
-   * @throws Refused beyond the look-ups' own part of the budget; CorruptLeaf
+   * The final state of an archived job; null if it was not in the archive at some moment after the
+   * call.
+   * @throws Refused if the rate limit of lookups is exceeded; CorruptLeaf
    */
   async find(id: string): Promise<JobOutcome | null> {
-    return this.recall(id) ?? findIn((await this.leaf(id)).entries, id);
+    return this.recall(id) ?? findOutcome((await this.readLeaf(id)).entries, id);
   }
 
-  /** What a job of this id has to depend on; mostly without asking the service anything. */
+  /** What the creation of a job with this id is conditional on; from the cache if possible. */
   async guard(id: string): Promise<Guard> {
-    const leaf = this.known(id) ?? (await this.leaf(id));
-    const past = findIn(leaf.entries, id);
-    return past === null ? { when: [{ key: leaf.key, version: leaf.version }] } : { past };
+    const leaf = this.cachedLeaf(id) ?? (await this.readLeaf(id));
+    const outcome = findOutcome(leaf.entries, id);
+    return outcome === null
+      ? { when: [{ key: leaf.key, version: leaf.version }] }
+      : { past: outcome };
   }
 
-  /** The leaf that an id is in, read after the call. */
-  async leaf(id: string): Promise<Leaf> {
-    for (let attempt = 0; attempt < TRIES; attempt++) {
-      const known = this.known(id);
-      const leaf = await this.#shared.run(known === null ? `id ${id}` : known.key, () =>
+  /** The leaf that covers an id, from a read that began after the call. */
+  async readLeaf(id: string): Promise<Leaf> {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+      const cached = this.cachedLeaf(id);
+      const leaf = await this.#leafReads.run(cached === null ? `id ${id}` : cached.key, () =>
         this.#read(id),
       );
       if (covers(leaf, id)) return leaf;
     }
-    throw new Refused("the archive is being divided");
+    throw new Refused(`job ${id}: its archive leaf was split during each of ${MAX_ATTEMPTS} reads`);
   }
 
   async #read(id: string): Promise<Leaf> {
-    if (!this.#admission.admit(id)) throw new Refused("look-ups beyond their budget");
+    if (!this.#admission.admit(id))
+      throw new Refused(`job ${id}: rate limit of archive lookups exceeded`);
     this.reads++;
-    const { rows } = await this.store.page(keys.archive, beforeLeaf(id), 1);
+    const { rows } = await this.store.page(keys.archive, listingStartOf(id), 1);
     const row = rows[0];
     try {
       if (row === undefined) throw new CorruptLeaf(leafKey("~"), "the last leaf is missing");
       const leaf = decodeLeaf(row);
       if (!covers(leaf, id)) {
-        // The range before it has lost its leaf: nothing says what was in it.
-        throw new CorruptLeaf(row.key, `begins behind ${leaf.from}: the leaf before it is missing`);
+        // The leaf that covers the id is missing, so the jobs in its range are unknown.
+        throw new CorruptLeaf(
+          row.key,
+          `begins after "${leaf.from}"; the leaf that covers "${id}" is missing`,
+        );
       }
-      this.keep(leaf);
+      this.cacheLeaf(leaf);
       return leaf;
     } catch (error) {
-      if (error instanceof CorruptLeaf && !this.#reported.has(error.key)) {
-        this.#reported.add(error.key);
-        this.log.error({ key: error.key, why: error.message }, "archive set aside");
+      if (error instanceof CorruptLeaf && !this.#reportedKeys.has(error.key)) {
+        this.#reportedKeys.add(error.key);
+        this.log.error(
+          { key: error.key, error: error.message },
+          "archive leaf is corrupt; lookups in its range fail",
+        );
       }
       throw error;
     }
--- a/src/image/newest.ts
+++ b/src/image/chunk-deduplication.ts
@@ -2,7 +2,7 @@
 import { encodePage, readPage } from "../jobs/chunk-page.js";
 import type { Image } from "./collect.js";
 
-interface Place {
+interface StoredState {
   key: string;
   version: number;
   state: ChunkState;
@@ -14,40 +14,40 @@
  * A restore writes all records anew, which would make the order between them another one.
  */
 export function newestOnly(rows: Image["rows"]): Image["rows"] {
-  const places = new Map<string, Place[]>();
-  const read = new Map<string, Map<string, ChunkState>>();
+  const storedStates = new Map<string, StoredState[]>();
+  const pages = new Map<string, Map<string, ChunkState>>();
   for (const [key, { value, version }] of rows) {
     const part = /^c\/(\d+)\/[pm]\//.exec(key)?.[1];
     const states = part === undefined ? null : readPage(value);
     if (states === null) continue;
-    read.set(key, states);
+    pages.set(key, states);
     for (const [name, state] of states) {
       const id = `${part} ${name}`;
-      const known = places.get(id);
-      if (known === undefined) places.set(id, [{ key, version, state }]);
+      const known = storedStates.get(id);
+      if (known === undefined) storedStates.set(id, [{ key, version, state }]);
       else known.push({ key, version, state });
     }
   }
-  const changed = new Set<string>();
-  for (const [id, all] of places) {
+  const changedKeys = new Set<string>();
+  for (const [id, all] of storedStates) {
     if (all.length === 1) continue;
     const name = id.slice(id.indexOf(" ") + 1);
     const newest = Math.max(...all.map(({ version }) => version));
-    const pieces = all.filter(({ version }) => version === newest);
+    const newestStates = all.filter(({ version }) => version === newest);
     for (const { key } of all) {
-      read.get(key)!.delete(name);
-      changed.add(key);
+      pages.get(key)!.delete(name);
+      changedKeys.add(key);
     }
-    read.get(pieces[0]!.key)!.set(name, {
-      attempts: Math.max(...pieces.map(({ state }) => state.attempts)),
-      done: pieces.flatMap(({ state: { done } }) => (done === "" ? [] : [done])).join(","),
-      live: pieces.flatMap(({ state }) => state.live),
+    pages.get(newestStates[0]!.key)!.set(name, {
+      attempts: Math.max(...newestStates.map(({ state }) => state.attempts)),
+      done: newestStates.flatMap(({ state: { done } }) => (done === "" ? [] : [done])).join(","),
+      live: newestStates.flatMap(({ state }) => state.live),
     });
   }
-  if (changed.size === 0) return rows;
+  if (changedKeys.size === 0) return rows;
   const out = new Map(rows);
-  for (const key of changed) {
-    const states = read.get(key)!;
+  for (const key of changedKeys) {
+    const states = pages.get(key)!;
     if (states.size === 0) out.delete(key);
     else out.set(key, { value: encodePage(states), version: rows.get(key)!.version });
   }
--- a/src/image/collect.ts
+++ b/src/image/collect.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "../clock.js";
 import type { Event, Row, Store } from "../state/store.js";
-import { newestOnly } from "./newest.js";
-import { patiently } from "./patient.js";
+import { newestOnly } from "./chunk-deduplication.js";
+import { retryUnavailable } from "./retry.js";
 
 /** All keys as they were at one revision. */
 export interface Image {
@@ -15,23 +15,23 @@
 export const PREFIXES = ["w/", "c/", "a/"] as const;
 
 /** Changes came faster than the keys could be read. */
-export class TooFast extends Error {}
+export class ChangesTooFast extends Error {}
 
-const PAGE = 1000;
+const PAGE_ROWS = 1000;
 /** Pages between two looks at what has changed: of 10,000 changes that are remembered few pass. */
-const FOLLOW = 5;
+const PAGES_PER_FOLLOW = 5;
 /** How often reading of one prefix begins anew before it is given up. */
-const TRIES = 5;
+const MAX_ATTEMPTS = 5;
 
-interface Walk {
+interface PrefixScan {
   prefix: string;
   rows: Row[];
   events: Event[];
   /** Events up to here are known; null before the first page. */
-  seen: number | null;
+  seenRevision: number | null;
   after: string | null;
   complete: boolean;
-  tries: number;
+  attempts: number;
 }
 
 /**
@@ -42,71 +42,74 @@
  * again
  */
 export async function collect(store: Pick<Store, "page" | "watch">, clock: Clock): Promise<Image> {
-  const walks = PREFIXES.map(
-    (prefix): Walk => ({
+  const scans = PREFIXES.map(
+    (prefix): PrefixScan => ({
       prefix,
       rows: [],
       events: [],
-      seen: null,
+      seenRevision: null,
       after: null,
       complete: false,
-      tries: 0,
+      attempts: 0,
     }),
   );
-  const again = (walk: Walk): void => {
-    if (++walk.tries >= TRIES) {
-      throw new TooFast(`${walk.prefix}: changes come faster than keys can be read`);
+  const restartScan = (scan: PrefixScan): void => {
+    if (++scan.attempts >= MAX_ATTEMPTS) {
+      throw new ChangesTooFast(`${scan.prefix}: changes come faster than keys can be read`);
     }
-    Object.assign(walk, { rows: [], events: [], seen: null, after: null, complete: false });
+    Object.assign(scan, { rows: [], events: [], seenRevision: null, after: null, complete: false });
   };
-  const follow = async (walk: Walk): Promise<number | null> => {
-    const heard = await patiently(clock, () => store.watch(walk.prefix, walk.seen!, 0));
-    if (heard === null) {
-      again(walk);
+  const followChanges = async (scan: PrefixScan): Promise<number | null> => {
+    const changes = await retryUnavailable(clock, () =>
+      store.watch(scan.prefix, scan.seenRevision!, 0),
+    );
+    if (changes === null) {
+      restartScan(scan);
       return null;
     }
-    walk.events.push(...heard.events);
-    walk.seen = Math.max(walk.seen!, heard.revision);
-    return heard.revision;
+    scan.events.push(...changes.events);
+    scan.seenRevision = Math.max(scan.seenRevision!, changes.revision);
+    return changes.revision;
   };
   let pages = 0;
   for (;;) {
-    let next = walks.find(({ complete }) => !complete);
+    let next = scans.find(({ complete }) => !complete);
     while (next !== undefined) {
       const { prefix, after } = next;
-      const page = await patiently(clock, () => store.page(prefix, after, PAGE));
-      next.seen ??= page.revision;
+      const page = await retryUnavailable(clock, () => store.page(prefix, after, PAGE_ROWS));
+      next.seenRevision ??= page.revision;
       next.rows.push(...page.rows);
       const last = page.rows.at(-1)?.key;
       if (page.more && last !== undefined) next.after = last;
       else next.complete = true;
-      if (++pages % FOLLOW === 0) {
-        for (const walk of walks) if (walk.seen !== null) await follow(walk);
+      if (++pages % PAGES_PER_FOLLOW === 0) {
+        for (const started of scans)
+          if (started.seenRevision !== null) await followChanges(started);
       }
-      next = walks.find(({ complete }) => !complete);
+      next = scans.find(({ complete }) => !complete);
     }
-    // All pages have been read: what the least of these has seen, all have.
+    // All pages have been read: what the least of these has seenRevision, all have.
     let revision = Number.POSITIVE_INFINITY;
-    for (const walk of walks) {
-      const seen = await follow(walk);
-      if (seen === null) break;
-      revision = Math.min(revision, seen);
+    for (const scan of scans) {
+      const seenRevision = await followChanges(scan);
+      if (seenRevision === null) break;
+      revision = Math.min(revision, seenRevision);
     }
-    if (walks.every(({ complete }) => complete)) {
+    if (scans.every(({ complete }) => complete)) {
       return {
         revision,
         takenAt: Math.round(clock.wall()),
-        rows: newestOnly(foldAll(walks, revision)),
+        rows: newestOnly(mergeChanges(scans, revision)),
       };
     }
   }
 }
 
-function foldAll(walks: readonly Walk[], revision: number): Image["rows"] {
+function mergeChanges(scans: readonly PrefixScan[], revision: number): Image["rows"] {
   const rows: Image["rows"] = new Map();
-  for (const walk of walks) {
-    for (const { key, value, version } of walk.rows) rows.set(key, { value, version });
-    for (const { key, value, version, deleted } of walk.events) {
+  for (const scan of scans) {
+    for (const { key, value, version } of scan.rows) rows.set(key, { value, version });
+    for (const { key, value, version, deleted } of scan.events) {
       if (version > revision) continue;
       if (version <= (rows.get(key)?.version ?? 0)) continue;
       if (deleted) rows.delete(key);
--- a/src/image/commands.ts
+++ b/src/image/commands.ts
@@ -6,16 +6,16 @@
 import { StoreClient, storeLimits } from "../state/store.js";
 import { checkImage, type Finding } from "./check.js";
 import { collect } from "./collect.js";
-import { exportFinished } from "./export.js";
-import { readImage, writeImage } from "./file.js";
-import { mendImage } from "./mend.js";
+import { readImage, writeImage } from "./image-file.js";
+import { overview } from "./overview.js";
+import { exportFinished } from "./parquet-export.js";
+import { repairImage } from "./repair.js";
 import { RestoreRefused, restoreImage } from "./restore.js";
-import { overview } from "./show.js";
 
 /** Runs with a client of the state service that may use a part of what the service allows. */
 async function withStore<T>(
   settings: Settings,
-  part: number,
+  rateShare: number,
   run: (store: StoreClient) => Promise<T>,
 ): Promise<T> {
   const { services, params } = settings;
@@ -23,7 +23,7 @@
   const limits = storeLimits(params.state);
   const store = new StoreClient(
     http,
-    { ...limits, rps: limits.rps * part, writeRps: limits.writeRps * part },
+    { ...limits, rps: limits.rps * rateShare, writeRps: limits.writeRps * rateShare },
     systemClock,
     10_000,
   );
@@ -55,11 +55,11 @@
   );
 }
 
-const out = (text: string): void => {
+const printLine = (text: string): void => {
   process.stdout.write(`${text}\n`);
 };
 
-function report(file: string, findings: readonly Finding[]): void {
+function printFindings(file: string, findings: readonly Finding[]): void {
   for (const { key, problem } of findings) process.stderr.write(`${file}: ${key}: ${problem}\n`);
 }
 
@@ -69,9 +69,9 @@
     .copyInheritedSettings(parent)
     .description("save, check, show, export and restore all that the state service keeps");
   // The program's own option, which may stand anywhere on the line.
-  const configured = (): string | undefined => parent.opts<{ config?: string }>().config;
-  const settings = (): Settings => {
-    const file = configured();
+  const configFile = (): string | undefined => parent.opts<{ config?: string }>().config;
+  const requiredSettings = (): Settings => {
+    const file = configFile();
     if (file === undefined) {
       return parent.error("error: give --config <file>, the platform's settings", { exitCode: 2 });
     }
@@ -84,9 +84,11 @@
     .argument("<file>", "the image: a gzipped tar file")
     .action(async (file: string) => {
       // A quarter of the requests that the service allows: it has other work.
-      const image = await withStore(settings(), 0.25, (store) => collect(store, systemClock));
+      const image = await withStore(requiredSettings(), 0.25, (store) =>
+        collect(store, systemClock),
+      );
       await writeImage(file, image);
-      out(`${file}: ${image.rows.size} keys at revision ${image.revision}`);
+      printLine(`${file}: ${image.rows.size} keys at revision ${image.revision}`);
     });
   state
     .command("show")
@@ -94,7 +96,7 @@
     .argument("<file>")
     .option("--json", "print JSON")
     .action(async (file: string, { json }: { json?: boolean }) => {
-      out(JSON.stringify(overview(await readImage(file)), null, json ? 0 : 2));
+      printLine(JSON.stringify(overview(await readImage(file)), null, json ? 0 : 2));
     });
   state
     .command("check")
@@ -102,11 +104,12 @@
     .argument("<file>")
     .action(async (file: string) => {
       const image = await readImage(file);
-      const limits = configured() === undefined ? undefined : limitsOf(settings().params.teams);
+      const limits =
+        configFile() === undefined ? undefined : limitsOf(requiredSettings().params.teams);
       const findings = checkImage(image, { limits });
-      report(file, findings);
+      printFindings(file, findings);
       if (findings.length > 0) throw new CommanderError(1, "state.check", "findings");
-      out(`${file}: ${image.rows.size} keys, no findings`);
+      printLine(`${file}: ${image.rows.size} keys, no findings`);
     });
   state
     .command("mend")
@@ -114,12 +117,17 @@
     .argument("<file>", "an image with findings")
     .argument("<mended>", "the image to write")
     .action(async (file: string, mended: string) => {
-      const limits = configured() === undefined ? undefined : limitsOf(settings().params.teams);
-      const { image, done, left } = mendImage(await readImage(file), { limits });
-      report(file, done);
+      const limits =
+        configFile() === undefined ? undefined : limitsOf(requiredSettings().params.teams);
+      const {
+        image,
+        repairs: done,
+        remaining: left,
+      } = repairImage(await readImage(file), { limits });
+      printFindings(file, done);
       await writeImage(mended, image);
-      out(`${mended}: ${done.length} mended, ${left.length} left`);
-      report(mended, left);
+      printLine(`${mended}: ${done.length} mended, ${left.length} left`);
+      printFindings(mended, left);
       if (left.length > 0) throw new CommanderError(1, "state.mend", "findings");
     });
   state
@@ -129,24 +137,26 @@
     .argument("<parquet>", "the file to write")
     .action(async (file: string, parquet: string) => {
       const count = await exportFinished(await readImage(file), parquet);
-      out(`${parquet}: ${count} jobs`);
+      printLine(`${parquet}: ${count} jobs`);
     });
   state
     .command("restore")
     .description("fill an empty state service from an image; stop all controllers first")
     .argument("<file>", "an image")
     .action(async (file: string) => {
-      let shown = 0;
+      let lastShown = 0;
       try {
-        const { rows, tokens } = await restoreFile(file, settings(), (done, all) => {
-          if (done < all && done - shown < 1000) return;
-          shown = done;
+        const { rows, tokens } = await restoreFile(file, requiredSettings(), (done, all) => {
+          if (done < all && done - lastShown < 1000) return;
+          lastShown = done;
           process.stderr.write(`${done} of ${all} keys\n`);
         });
-        out(`${rows} keys restored; tokens are raised by ${tokens}. Start the controllers now.`);
+        printLine(
+          `${rows} keys restored; tokens are raised by ${tokens}. Start the controllers now.`,
+        );
       } catch (error) {
         if (!(error instanceof RestoreRefused)) throw error;
-        report(file, error.findings);
+        printFindings(file, error.findings);
         process.stderr.write(`birchdale: not restored: ${error.message}\n`);
         throw new CommanderError(1, "state.restore", error.message);
       }
--- a/src/image/file.ts
+++ b/src/image/image-file.ts
@@ -14,7 +14,7 @@
 
 const FORMAT = 1;
 
-const manifest = z.object({
+const manifestSchema = z.object({
   format: z.number().int(),
   revision: z.number().int().nonnegative(),
   takenAt: z.number().int(),
@@ -23,9 +23,9 @@
   ),
 });
 
-const line = z.tuple([z.string().min(1), z.number().int().positive(), z.unknown()]);
+const lineSchema = z.tuple([z.string().min(1), z.number().int().positive(), z.unknown()]);
 
-const nameOf = (prefix: string): string => `${prefix.slice(0, -1)}.jsonl`;
+const entryNameOf = (prefix: string): string => `${prefix.slice(0, -1)}.jsonl`;
 
 /**
  * Writes an image: a gzipped tar file with a manifest and one file of JSON lines
@@ -41,31 +41,31 @@
         const { value, version } = image.rows.get(key)!;
         return `${JSON.stringify([key, version, value])}\n`;
       });
-    return { name: nameOf(prefix), rows: lines.length, bytes: Buffer.from(lines.join("")) };
+    return { name: entryNameOf(prefix), rows: lines.length, bytes: Buffer.from(lines.join("")) };
   });
   const { revision, takenAt } = image;
-  const head: z.infer<typeof manifest> = {
+  const manifest: z.infer<typeof manifestSchema> = {
     format: FORMAT,
     revision,
     takenAt,
-    entries: texts.map(({ name, rows, bytes }) => ({ name, rows, sha256: sumOf(bytes) })),
+    entries: texts.map(({ name, rows, bytes }) => ({ name, rows, sha256: sha256Of(bytes) })),
   };
   const pack = tar.pack();
   const mtime = new Date(takenAt);
-  pack.entry({ name: "manifest.json", mtime }, `${JSON.stringify(head, null, 2)}\n`);
+  pack.entry({ name: "manifest.json", mtime }, `${JSON.stringify(manifest, null, 2)}\n`);
   for (const { name, bytes } of texts) pack.entry({ name, mtime }, bytes);
   pack.finalize();
-  const part = `${file}.part`;
+  const partialFile = `${file}.part`;
   try {
-    await pipeline(pack, createGzip(), createWriteStream(part, { flags: "wx" }));
-    await rename(part, file);
+    await pipeline(pack, createGzip(), createWriteStream(partialFile, { flags: "wx" }));
+    await rename(partialFile, file);
   } catch (error) {
-    await rm(part, { force: true });
+    await rm(partialFile, { force: true });
     throw error;
   }
 }
 
-const sumOf = (bytes: Buffer): string => createHash("sha256").update(bytes).digest("hex");
+const sha256Of = (bytes: Buffer): string => createHash("sha256").update(bytes).digest("hex");
 
 /**
  * Reads an image and checks that it is whole; whether what it holds is right is another question
@@ -73,14 +73,14 @@
  * @throws ImageError with file, entry and line
  */
 export async function readImage(file: string): Promise<Image> {
-  const found = new Map<string, Buffer>();
+  const files = new Map<string, Buffer>();
   const extract = tar.extract();
   const reading = pipeline(createReadStream(file), createGunzip(), extract);
   try {
     for await (const entry of extract) {
       const chunks: Buffer[] = [];
       for await (const chunk of entry) chunks.push(chunk as Buffer);
-      found.set(entry.header.name, Buffer.concat(chunks));
+      files.set(entry.header.name, Buffer.concat(chunks));
     }
     await reading;
   } catch (error) {
@@ -89,11 +89,11 @@
     if (code === "ENOENT" || code === "EACCES" || code === "EISDIR") throw error;
     throw new ImageError(`${file}: not a whole image (${(error as Error).message})`);
   }
-  const head = found.get("manifest.json");
-  if (head === undefined) throw new ImageError(`${file}: no manifest.json in it`);
-  let parsed: z.infer<typeof manifest>;
+  const manifestBytes = files.get("manifest.json");
+  if (manifestBytes === undefined) throw new ImageError(`${file}: no manifest.json in it`);
+  let parsed: z.infer<typeof manifestSchema>;
   try {
-    parsed = manifest.parse(JSON.parse(head.toString()));
+    parsed = manifestSchema.parse(JSON.parse(manifestBytes.toString()));
   } catch {
     throw new ImageError(`${file}: manifest.json: not the manifest of an image`);
   }
@@ -102,9 +102,9 @@
   }
   const rows: Image["rows"] = new Map();
   for (const { name, rows: count, sha256 } of parsed.entries) {
-    const bytes = found.get(name);
+    const bytes = files.get(name);
     if (bytes === undefined) throw new ImageError(`${file}: ${name} is missing`);
-    if (sumOf(bytes) !== sha256) throw new ImageError(`${file}: ${name}: the checksum is wrong`);
+    if (sha256Of(bytes) !== sha256) throw new ImageError(`${file}: ${name}: the checksum is wrong`);
     const lines = bytes.length === 0 ? [] : bytes.toString().trimEnd().split("\n");
     if (lines.length !== count) {
       throw new ImageError(`${file}: ${name}: ${lines.length} lines where ${count} should be`);
@@ -119,9 +119,9 @@
   return { revision, takenAt, rows };
 }
 
-function parseLine(text: string): z.infer<typeof line> | null {
+function parseLine(text: string): z.infer<typeof lineSchema> | null {
   try {
-    return line.parse(JSON.parse(text));
+    return lineSchema.parse(JSON.parse(text));
   } catch {
     return null;
   }
--- a/src/image/index.ts
+++ b/src/image/index.ts
@@ -4,10 +4,10 @@
  * how an image is consistent and what a restore can lose.
  */
 export { type CheckOptions, checkImage, type Finding } from "./check.js";
-export { collect, type Image, PREFIXES, TooFast } from "./collect.js";
+export { ChangesTooFast as TooFast, collect, type Image, PREFIXES } from "./collect.js";
 export { imageCommands, restoreFile } from "./commands.js";
-export { exportFinished } from "./export.js";
-export { ImageError, readImage, writeImage } from "./file.js";
-export { type Mended, mendImage } from "./mend.js";
+export { ImageError, readImage, writeImage } from "./image-file.js";
+export { finishedJobs as finished, type Overview, overview } from "./overview.js";
+export { exportFinished } from "./parquet-export.js";
+export { type RepairResult as Mended, repairImage as mendImage } from "./repair.js";
 export { RestoreRefused, restorable, restoreImage, tokensAbove } from "./restore.js";
-export { finished, type Overview, overview } from "./show.js";
--- a/src/image/show.ts
+++ b/src/image/overview.ts
@@ -67,25 +67,25 @@
 }
 
 /** Every job of an image that is over, with its final state, in order of ids. */
-export function* finished(image: Image): Generator<readonly [id: string, past: JobOutcome]> {
+export function* finishedJobs(image: Image): Generator<readonly [id: string, past: JobOutcome]> {
   const leaves: string[] = [];
-  const recent: (readonly [id: string, past: JobOutcome])[] = [];
+  const unarchived: (readonly [id: string, past: JobOutcome])[] = [];
   for (const [key, { value }] of image.rows) {
     if (key.startsWith(keys.archive)) leaves.push(key);
     else if (key.startsWith(JOB_HEADER_PREFIX) && isHeader(value)) {
-      const past = outcomeOf(value);
-      if (past !== null) recent.push([key.slice(JOB_HEADER_PREFIX.length), past]);
+      const outcome = outcomeOf(value);
+      if (outcome !== null) unarchived.push([key.slice(JOB_HEADER_PREFIX.length), outcome]);
     }
   }
-  recent.sort(([a], [b]) => (a < b ? -1 : 1));
+  unarchived.sort(([a], [b]) => (a < b ? -1 : 1));
   let next = 0;
   // A leaf at a time: there may be millions of jobs.
   for (const key of leaves.sort()) {
     const { value, version } = image.rows.get(key)!;
     for (const entry of entriesOf(key, value, version)) {
-      while (next < recent.length && recent[next]![0] < entry[0]) yield recent[next++]!;
+      while (next < unarchived.length && unarchived[next]![0] < entry[0]) yield unarchived[next++]!;
       yield entry;
     }
   }
-  yield* recent.slice(next);
+  yield* unarchived.slice(next);
 }
--- a/src/image/export.ts
+++ b/src/image/parquet-export.ts
@@ -1,22 +1,22 @@
 import type { JobOutcome } from "../jobs/job-outcome.js";
 import type { Image } from "./collect.js";
-import { finished } from "./show.js";
+import { finishedJobs } from "./overview.js";
 
 /** How many rows a group of the file has: what is in memory at a time, here and where it is read. */
-const GROUP = 50_000;
+const ROW_GROUP_ROWS = 50_000;
 
-type Batch = (readonly [id: string, past: JobOutcome])[];
+type JobBatch = (readonly [id: string, past: JobOutcome])[];
 
-const moment = (ms: number | null): Date | null => (ms === null ? null : new Date(ms));
+const toDate = (ms: number | null): Date | null => (ms === null ? null : new Date(ms));
 
-const columnsOf = (jobs: Batch) => [
+const columnsOf = (jobs: JobBatch) => [
   { name: "id", data: jobs.map(([id]) => id) },
   { name: "status", data: jobs.map(([, { status }]) => status) },
   { name: "tasks", data: jobs.map(([, { tasks }]) => tasks) },
   { name: "done", data: jobs.map(([, { done }]) => done) },
   { name: "team", data: jobs.map(([, { team }]) => team) },
-  { name: "accepted", data: jobs.map(([, { at }]) => moment(at)) },
-  { name: "over", data: jobs.map(([, { over }]) => moment(over)) },
+  { name: "accepted", data: jobs.map(([, { at }]) => toDate(at)) },
+  { name: "over", data: jobs.map(([, { over }]) => toDate(over)) },
 ];
 
 /**
@@ -45,15 +45,15 @@
     ],
   });
   let count = 0;
-  let batch: Batch = [];
+  let batch: JobBatch = [];
   const write = async (): Promise<void> => {
-    await out.write({ columnData: columnsOf(batch), rowGroupSize: GROUP });
+    await out.write({ columnData: columnsOf(batch), rowGroupSize: ROW_GROUP_ROWS });
     count += batch.length;
     batch = [];
   };
-  for (const job of finished(image)) {
+  for (const job of finishedJobs(image)) {
     batch.push(job);
-    if (batch.length === GROUP) await write();
+    if (batch.length === ROW_GROUP_ROWS) await write();
   }
   if (batch.length > 0) await write();
   await out.finish();
--- a/src/image/mend.ts
+++ b/src/image/repair.ts
@@ -6,12 +6,12 @@
 import { type CheckOptions, checkImage, chunkFault, type Finding } from "./check.js";
 import type { Image } from "./collect.js";
 
-export interface Mended {
+export interface RepairResult {
   image: Image;
   /** What was done, by key. */
-  done: Finding[];
+  repairs: Finding[];
   /** What cannot be mended without guessing; the image can be restored once this is empty. */
-  left: Finding[];
+  remaining: Finding[];
 }
 
 /**
@@ -21,42 +21,42 @@
  * results of tasks that had completed are kept by the platform. Headers, leaves of the archive and the
  * schema are left as they are: what they said cannot be known. A pure function.
  */
-export function mendImage(image: Image, options: CheckOptions = {}): Mended {
+export function repairImage(image: Image, options: CheckOptions = {}): RepairResult {
   const rows: Image["rows"] = new Map(image.rows);
   const done: Finding[] = [];
-  const say = (key: string, problem: string): void => {
+  const addRepair = (key: string, problem: string): void => {
     done.push({ key, problem });
   };
   const headers = headersOf(rows);
-  const pages = pagesOf(rows, say);
-  const faultOf = ({ part }: Page, name: string, state: ChunkState): string | null =>
+  const records = chunkRecordsOf(rows, addRepair);
+  const faultOf = ({ part }: ChunkRecord, name: string, state: ChunkState): string | null =>
     chunkFault(headers, part, name, state);
-  const doubled = doubledOf(pages, faultOf);
-  for (const page of pages) {
-    const { key, states } = page;
-    const good = [...states].filter(([name, state]) => {
-      const twice = page.page && doubled.has(name);
-      const fault = faultOf(page, name, state) ?? (twice ? "is in two pages" : null);
-      if (fault !== null) say(key, `${name}: ${fault}; its state is left out`);
+  const duplicates = duplicateChunksOf(records, faultOf);
+  for (const record of records) {
+    const { key, states } = record;
+    const valid = [...states].filter(([name, state]) => {
+      const duplicate = record.isPage && duplicates.has(name);
+      const fault = faultOf(record, name, state) ?? (duplicate ? "is in two pages" : null);
+      if (fault !== null) addRepair(key, `${name}: ${fault}; its state is left out`);
       return fault === null;
     });
-    if (good.length === states.size) continue;
-    if (good.length === 0) rows.delete(key);
-    else rows.set(key, { value: encodePage(good), version: rows.get(key)!.version });
+    if (valid.length === states.size) continue;
+    if (valid.length === 0) rows.delete(key);
+    else rows.set(key, { value: encodePage(valid), version: rows.get(key)!.version });
   }
   for (const key of rows.keys()) {
     const fence = /^c\/\d+\/fence$/.test(key);
     if (!fence || /^\d+\.\d+$/.test(String(rows.get(key)!.value))) continue;
     // Its owner writes another one with its first commit.
     rows.delete(key);
-    say(key, "left out");
+    addRepair(key, "left out");
   }
-  mendSlices(image, rows, headers, options, say);
-  const mended = { ...image, rows };
-  return { image: mended, done, left: checkImage(mended, options) };
+  repairSlices(image, rows, headers, options, addRepair);
+  const repaired = { ...image, rows };
+  return { image: repaired, repairs: done, remaining: checkImage(repaired, options) };
 }
 
-type Say = (key: string, problem: string) => void;
+type AddRepair = (key: string, problem: string) => void;
 
 function headersOf(rows: Image["rows"]): Map<string, JobHeader> {
   const headers = new Map<string, JobHeader>();
@@ -67,59 +67,59 @@
   return headers;
 }
 
-interface Page {
+interface ChunkRecord {
   key: string;
   part: number;
   /** A page; else what a chunk brought along. */
-  page: boolean;
+  isPage: boolean;
   states: Map<string, ChunkState>;
 }
 
-function pagesOf(rows: Image["rows"], say: Say): Page[] {
-  const pages: Page[] = [];
+function chunkRecordsOf(rows: Image["rows"], addRepair: AddRepair): ChunkRecord[] {
+  const records: ChunkRecord[] = [];
   for (const [key, { value }] of rows) {
     const match = /^c\/(\d+)\/([pm])\//.exec(key);
     if (match === null) continue;
     const states = readPage(value);
     if (states === null) {
       rows.delete(key);
-      say(key, "cannot be read; all of it is left out");
-    } else pages.push({ key, part: Number(match[1]), page: match[2] === "p", states });
+      addRepair(key, "cannot be read; all of it is left out");
+    } else records.push({ key, part: Number(match[1]), isPage: match[2] === "p", states });
   }
-  return pages;
+  return records;
 }
 
-/** Chunks that are in more than one page: nothing says which of them is right. */
-function doubledOf(
-  pages: readonly Page[],
-  faultOf: (page: Page, name: string, state: ChunkState) => string | null,
+/** Chunks that are in more than one record: nothing says which of them is right. */
+function duplicateChunksOf(
+  records: readonly ChunkRecord[],
+  faultOf: (record: ChunkRecord, name: string, state: ChunkState) => string | null,
 ): Set<string> {
   const seen = new Set<string>();
-  const doubled = new Set<string>();
-  for (const page of pages) {
-    for (const [name, state] of page.page ? page.states : []) {
-      if (faultOf(page, name, state) !== null) continue;
-      if (seen.has(name)) doubled.add(name);
+  const duplicates = new Set<string>();
+  for (const record of records) {
+    for (const [name, state] of record.isPage ? record.states : []) {
+      if (faultOf(record, name, state) !== null) continue;
+      if (seen.has(name)) duplicates.add(name);
       seen.add(name);
     }
   }
-  return doubled;
+  return duplicates;
 }
 
 /**
  * Slices that cannot be right become what each part's placed tasks use, and no more: those were
  * within the limit together, and the rest of it is free to take.
  */
-function mendSlices(
+function repairSlices(
   image: Image,
   rows: Image["rows"],
   headers: ReadonlyMap<string, JobHeader>,
   options: CheckOptions,
-  say: Say,
+  addRepair: AddRepair,
 ): void {
   const prefix = keys.quota("");
-  const bad = checkImage(image, options).filter(({ key }) => key.startsWith(prefix));
-  for (const key of new Set(bad.map((finding) => finding.key))) {
+  const sliceFindings = checkImage(image, options).filter(({ key }) => key.startsWith(prefix));
+  for (const key of new Set(sliceFindings.map((finding) => finding.key))) {
     const team = decodeURIComponent(key.slice(prefix.length));
     const record: SliceRecord = {};
     for (const [name, { value }] of rows) {
@@ -134,6 +134,6 @@
       }
     }
     rows.set(key, { value: record, version: rows.get(key)!.version });
-    say(key, "slices are now what is in use");
+    addRepair(key, "slices are now what is in use");
   }
 }
--- a/src/image/restore.ts
+++ b/src/image/restore.ts
@@ -6,7 +6,7 @@
 import type { Change, Condition, Page, Store } from "../state/store.js";
 import { checkImage, type Finding } from "./check.js";
 import { type Image, PREFIXES } from "./collect.js";
-import { patiently } from "./patient.js";
+import { retryUnavailable } from "./retry.js";
 
 /** The image was not, or not wholly, put into the service; the reason is one line. */
 export class RestoreRefused extends Error {
@@ -22,7 +22,7 @@
  * Keys that stand for controllers that are up: those are not the same ones any more. Summaries are
  * hints that would be wrong.
  */
-const PASSING = [
+const TRANSIENT_PREFIXES = [
   keys.node(""),
   keys.accusation(""),
   keys.decision(""),
@@ -39,7 +39,7 @@
 export function restorable(image: Image): [key: string, value: unknown][] {
   return [...image.rows]
     .filter(([key, { value }]) => {
-      if (PASSING.some((prefix) => key.startsWith(prefix))) return false;
+      if (TRANSIENT_PREFIXES.some((prefix) => key.startsWith(prefix))) return false;
       return !((key === keys.leader || key === keys.leader2) && isClaim(value));
     })
     .map(([key, { value }]): [string, unknown] => [key, value])
@@ -51,10 +51,10 @@
  * stamp, and the former service made at most `writeRps` changes a second after the image was taken;
  * twice that and an hour more, for a time of day that is off and for leases that ended.
  */
-export function tokensAbove(image: Image, wall: number, writeRps: number): number {
-  const before = parseRestoreRecord(image.rows.get(keys.restored)?.value)?.tokens ?? 0;
-  const elapsedS = (wall - image.takenAt) / 1000 + 3600;
-  return before + image.revision + Math.ceil(2 * writeRps * elapsedS);
+export function tokensAbove(image: Image, wallMs: number, writeRps: number): number {
+  const earlierTokens = parseRestoreRecord(image.rows.get(keys.restored)?.value)?.tokens ?? 0;
+  const elapsedS = (wallMs - image.takenAt) / 1000 + 3600;
+  return earlierTokens + image.revision + Math.ceil(2 * writeRps * elapsedS);
 }
 
 export interface RestoreOptions {
@@ -83,54 +83,56 @@
   if (findings.length > 0) {
     throw new RestoreRefused(`the image has ${findings.length} findings`, findings);
   }
-  const wall = clock.wall();
-  if (wall < image.takenAt - 60_000) {
+  const wallMs = clock.wall();
+  if (wallMs < image.takenAt - 60_000) {
     throw new RestoreRefused("the image is from the future: this machine's time of day is wrong");
   }
-  const again = <T>(run: () => Promise<T>): Promise<T> => patiently(clock, run);
+  const retry = <T>(run: () => Promise<T>): Promise<T> => retryUnavailable(clock, run);
   const { revision, takenAt } = image;
-  const fresh: RestoreRecord = {
+  const initialRecord: RestoreRecord = {
     state: "filling",
     image: { revision, takenAt },
-    tokens: tokensAbove(image, wall, writeRps),
+    tokens: tokensAbove(image, wallMs, writeRps),
   };
-  const begun = await again(() => store.get(keys.restored));
-  let record = parseRestoreRecord(begun?.value);
-  if (begun === null) {
+  const existing = await retry(() => store.get(keys.restored));
+  let record = parseRestoreRecord(existing?.value);
+  if (existing === null) {
     for (const prefix of PREFIXES) {
-      const { rows } = await again(() => store.page(prefix, null, 1));
+      const { rows } = await retry(() => store.page(prefix, null, 1));
       if (rows.length > 0) {
         throw new RestoreRefused(`the state service is not empty: it has ${rows[0]!.key}`);
       }
     }
     const absent = [keys.restored, ...members.map(keys.node)];
-    const condition = absent.map((key) => ({ key, version: 0 }));
-    await again(() => store.transact(condition, [{ put: keys.restored, value: fresh }]));
+    const conditions = absent.map((key) => ({ key, version: 0 }));
+    await retry(() => store.transact(conditions, [{ put: keys.restored, value: initialRecord }]));
     // Whoever was first: that is the one.
-    record = parseRestoreRecord((await again(() => store.get(keys.restored)))?.value);
+    record = parseRestoreRecord((await retry(() => store.get(keys.restored)))?.value);
   }
   if (record === null) throw new RestoreRefused("a controller is up: stop all of them first");
-  if (!isDeepStrictEqual(record.image, fresh.image)) {
+  if (!isDeepStrictEqual(record.image, initialRecord.image)) {
     throw new RestoreRefused("the state service is being filled from another image");
   }
   if (record.state !== "filling") {
     throw new RestoreRefused("the state service has been restored from this image already");
   }
   const rows = restorable(image);
-  const marker = await again(() => store.get(keys.restored));
+  const marker = await retry(() => store.get(keys.restored));
   const guard = { key: keys.restored, version: marker!.version };
   for (let from = 0; from < rows.length; ) {
-    const size = batchAt(rows, from, store);
+    const size = nextBatchSize(rows, from, store);
     const batch = rows.slice(from, from + size);
     while (!store.writes.take(size)) await sleep(clock, 20);
-    await again(() => fill(store, guard, batch));
+    await retry(() => writeBatch(store, guard, batch));
     from += size;
     progress?.(from, rows.length);
   }
-  await verify(store, rows, again);
-  const done: RestoreRecord = { ...record, state: "settling" };
-  const result = await again(() => store.transact([guard], [{ put: keys.restored, value: done }]));
-  const now = parseRestoreRecord((await again(() => store.get(keys.restored)))?.value);
+  await verify(store, rows, retry);
+  const finalRecord: RestoreRecord = { ...record, state: "settling" };
+  const result = await retry(() =>
+    store.transact([guard], [{ put: keys.restored, value: finalRecord }]),
+  );
+  const now = parseRestoreRecord((await retry(() => store.get(keys.restored)))?.value);
   if (!result.ok && now?.state !== "settling") {
     throw new RestoreRefused("somebody else has changed what was being restored");
   }
@@ -138,7 +140,11 @@
 }
 
 /** How many of the rows fit the next transaction. */
-function batchAt(rows: readonly [string, unknown][], from: number, { limits }: Store): number {
+function nextBatchSize(
+  rows: readonly [string, unknown][],
+  from: number,
+  { limits }: Store,
+): number {
   let bytes = 512;
   let count = 0;
   while (from + count < rows.length && count < limits.ops) {
@@ -150,7 +156,7 @@
   return count;
 }
 
-async function fill(
+async function writeBatch(
   store: Store,
   guard: Condition,
   batch: readonly [string, unknown][],
@@ -164,10 +170,10 @@
   }
   // An earlier try that was not answered, or an earlier run: then what is there is what should be.
   for (const [key, value] of batch) {
-    const there = await store.get(key);
-    if (there === null) {
+    const stored = await store.get(key);
+    if (stored === null) {
       await store.transact([guard, { key, version: 0 }], [{ put: key, value }]);
-    } else if (!isDeepStrictEqual(there.value, value)) {
+    } else if (!isDeepStrictEqual(stored.value, value)) {
       throw new RestoreRefused(`${key} is there already, with another value`);
     }
   }
@@ -177,27 +183,27 @@
 async function verify(
   store: Store,
   rows: readonly [string, unknown][],
-  again: <T>(run: () => Promise<T>) => Promise<T>,
+  retry: <T>(run: () => Promise<T>) => Promise<T>,
 ): Promise<void> {
-  const wanted = new Map(rows);
+  const expected = new Map(rows);
   for (const prefix of PREFIXES) {
     let after: string | null = null;
     for (;;) {
       const from: string | null = after;
-      const page: Page = await again(() => store.page(prefix, from, 1000));
+      const page: Page = await retry(() => store.page(prefix, from, 1000));
       for (const { key, value } of page.rows) {
         // A controller that has come up too early tells of itself, and does nothing else.
-        if (PASSING.some((passing) => key.startsWith(passing))) continue;
-        if (!wanted.has(key)) throw new RestoreRefused(`${key} has come from somewhere else`);
-        if (!isDeepStrictEqual(wanted.get(key), value)) {
+        if (TRANSIENT_PREFIXES.some((passing) => key.startsWith(passing))) continue;
+        if (!expected.has(key)) throw new RestoreRefused(`${key} has come from somewhere else`);
+        if (!isDeepStrictEqual(expected.get(key), value)) {
           throw new RestoreRefused(`${key} is not what the image has`);
         }
-        wanted.delete(key);
+        expected.delete(key);
       }
       after = page.rows.at(-1)?.key ?? null;
       if (!page.more || after === null) break;
     }
   }
-  const [missing] = wanted.keys();
+  const [missing] = expected.keys();
   if (missing !== undefined) throw new RestoreRefused(`${missing} did not arrive`);
 }
--- a/test/archive.test.ts
+++ b/test/archive.test.ts
@@ -1,6 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
+import { CoalescedReads } from "../src/archive/coalesced-reads.js";
 import {
   beforeLeaf,
   CorruptLeaf,
@@ -16,7 +17,6 @@
   leafKey,
   planMove,
 } from "../src/archive/index.js";
-import { Shared } from "../src/archive/shared.js";
 import { GoneMachines } from "../src/controller/gone-machines.js";
 import { jsonBytes } from "../src/jobs/chunk-page.js";
 import {
@@ -160,7 +160,7 @@
         const full = jsonBytes(encodeLeaf("", kept)) > most;
         if (move === null) return assert.ok(fresh.length === 0 || full);
         assert.deepEqual(
-          move.doubled.map(({ key }) => key.slice(4)),
+          move.alreadyArchived.map(({ key }) => key.slice(4)),
           fresh.map(([id]) => id).filter((id) => known.has(id)),
         );
         if (move.moved.length === 0) return;
@@ -183,7 +183,7 @@
         for (const change of move.changes) {
           const key = "put" in change ? change.put : change.remove;
           assert.ok(
-            move.when.some((condition) => condition.key === key),
+            move.conditions.some((condition) => condition.key === key),
             key,
           );
         }
@@ -302,7 +302,7 @@
 });
 
 test("look-ups: whoever asks during a reading gets one that begins afterwards", async () => {
-  const shared = new Shared<number>();
+  const shared = new CoalescedReads<number>();
   const gates: (() => void)[] = [];
   let begun = 0;
   const read = (): Promise<number> => {
@@ -323,7 +323,7 @@
 });
 
 test("look-ups: a reading that fails fails its askers, and the next ones are served", async () => {
-  const shared = new Shared<number>();
+  const shared = new CoalescedReads<number>();
   const first = shared.run("a", () => Promise.reject(new Error("no")));
   const second = shared.run("a", () => Promise.resolve(2));
   await assert.rejects(first, /no/);
--- a/test/image.test.ts
+++ b/test/image.test.ts
@@ -174,7 +174,7 @@
     }
     const whole = new Map(broken.rows);
     broken.rows.set(hurt, { value: bad, version: 50 });
-    const { image, done, left } = mendImage(broken, { limits });
+    const { image, repairs: done, remaining: left } = mendImage(broken, { limits });
     assert.deepEqual(left, []);
     assert.ok(done.length > 0);
     assert.deepEqual(image.rows.get(key)?.value, value);
@@ -190,7 +190,7 @@
   const image = sound();
   image.rows.set("w/j/wk-open", { value: 7, version: 50 });
   image.rows.delete(leafKey("wk-b"));
-  const { left, image: mended } = mendImage(image);
+  const { remaining: left, image: mended } = mendImage(image);
   assert.deepEqual(
     left.map(({ key }) => key),
     ["w/j/wk-open", leafKey(LAST)],
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { newestOnly } from "../src/image/newest.js";
+import { newestOnly } from "../src/image/chunk-deduplication.js";
 import { parseSettings, SettingsError } from "../src/settings/settings.js";
 import { Busy, storeLimits } from "../src/state/store.js";
 import { AFTER } from "./support/common.js";
