--- a/src/image/check.ts
+++ b/src/image/check.ts
@@ -8,24 +8,24 @@
 import { isJobId } from "../wire/jobs.js";
 import type { Image } from "./collect.js";
 
-/** Something that must not be, and the key that shows it. */
+/** A violated invariant, and the key where it shows. */
 export interface Finding {
   key: string;
   problem: string;
 }
 
 export interface CheckOptions {
-  /** The teams' limits, where the settings are at hand. */
+  /** The teams' limits, if the settings are available. */
   limits?: ReadonlyMap<string, { cpus: number; gpus: number }>;
 }
 
 const ROUNDING_TOLERANCE = 1e-6;
 
 /**
- * Verifies what must hold between the records of one revision (docs/design.md, "Why the rules
- * hold"): chunks and headers agree, each task is placed at most once, slices are within limits,
- * archive and headers have no job in common, no token is newer than the revision. A pure function;
- * an empty list means that all of it holds.
+ * Verifies the invariants between the records of one revision (docs/design.md, "Why the rules
+ * hold"): chunks and headers agree, each task is placed at most once, slices are within limits, no
+ * job is both in the archive and among the headers, no token is newer than the revision. A pure
+ * function; an empty list means that all invariants hold.
  */
 export function checkImage(image: Image, { limits }: CheckOptions = {}): Finding[] {
   const findings: Finding[] = [];
@@ -37,11 +37,11 @@
   for (const key of sortedKeys) {
     const { value, version } = image.rows.get(key)!;
     if (version > image.revision) {
-      addFinding(key, `its stamp ${version} is beyond the revision ${image.revision}`);
+      addFinding(key, `version ${version} is greater than the image's revision ${image.revision}`);
     }
     if (!key.startsWith(JOB_HEADER_PREFIX)) continue;
     const id = key.slice(JOB_HEADER_PREFIX.length);
-    const problem = !isJobId(id) ? "not a job's id" : headerError(value);
+    const problem = !isJobId(id) ? `"${id}" is not a valid job id` : headerError(value);
     if (problem !== null) addFinding(key, problem);
     else headers.set(id, value as JobHeader);
   }
@@ -54,7 +54,7 @@
 
 type AddFinding = (key: string, problem: string) => void;
 
-/** Pages and handovers against the headers. */
+/** Checks chunk pages and handover records against the headers. */
 function checkChunkRecords(
   image: Image,
   sortedKeys: readonly string[],
@@ -71,7 +71,7 @@
     const part = Number(match[1]);
     const states = readPage(value);
     if (states === null) {
-      addFinding(key, "not a page");
+      addFinding(key, "the value is not a valid page record");
       continue;
     }
     for (const [name, state] of states) {
@@ -82,15 +82,19 @@
       if (header === undefined) continue;
       const otherPage = pageOfChunk.get(name);
       if (match[2] === "p") {
-        if (otherPage !== undefined) addFinding(key, `${name}: is in ${otherPage} as well`);
+        if (otherPage !== undefined)
+          addFinding(key, `${name}: the chunk is also in page ${otherPage}`);
         pageOfChunk.set(name, key);
       }
       for (const { index: task, machine } of state.live) {
         const taskName = `${id}/${index * header.chunkSize + task}`;
         const otherMachine = machineOfTask.get(taskName);
-        // What came along from another part is in a page as well until it is deleted.
+        // A handover record and a page may both have the chunk until the handover record is deleted.
         if (otherMachine !== undefined && match[2] === "p" && otherMachine !== machine) {
-          addFinding(key, `${taskName}: placed on ${machine} and on ${otherMachine}`);
+          addFinding(
+            key,
+            `${taskName}: the task is placed on two machines, ${machine} and ${otherMachine}`,
+          );
         }
         machineOfTask.set(taskName, machine);
       }
@@ -112,12 +116,13 @@
 ): string | null {
   const { id, index } = parseChunkName(name);
   const header = headers.get(id);
-  if (header === undefined) return "a chunk without a header";
+  if (header === undefined) return "the chunk's job has no valid header";
   const owner = header.owners[index];
   if (owner !== partChar(part)) {
-    if (header.status === "done" || owner === FINISHED) return "by its header it is finished";
-    if (owner === undefined) return "by its header it does not exist";
-    return `by its header it belongs to part ${Number.parseInt(owner, 36)}`;
+    if (header.status === "done" || owner === FINISHED)
+      return "by the job header, the chunk is finished";
+    if (owner === undefined) return `the job header has only ${header.owners.length} chunks`;
+    return `by the job header, the chunk belongs to part ${Number.parseInt(owner, 36)}`;
   }
   return chunkProblems(header, index, state)[0] ?? null;
 }
@@ -129,18 +134,23 @@
   for (const range of state.done === "" ? [] : state.done.split(",")) {
     const [from, to = from] = range.split("-").map(Number) as [number, number?];
     if (!(from >= 0 && to >= from && to < size)) {
-      problems.push(`tasks ${range} of ${size} are done`);
+      problems.push(`done tasks ${range} are out of range: the chunk has ${size} tasks`);
       continue;
     }
     for (let task = from; task <= to; task++) doneTasks.add(task);
   }
   const placedTasks = new Set<number>();
   for (const { index: task, attempt, machine } of state.live) {
-    if (!(task >= 0 && task < size)) problems.push(`task ${task} of ${size} is placed`);
+    if (!(task >= 0 && task < size))
+      problems.push(`placed task ${task} is out of range: the chunk has ${size} tasks`);
     if (placedTasks.has(task)) problems.push(`task ${task} is placed twice`);
     if (doneTasks.has(task)) problems.push(`task ${task} is done and placed`);
-    if (attempt > state.attempts) problems.push(`attempt ${attempt} of ${state.attempts}`);
-    if (typeof machine !== "string") problems.push(`task ${task} is on no machine`);
+    if (attempt > state.attempts)
+      problems.push(
+        `task ${task}: attempt ${attempt} exceeds the chunk's highest attempt ${state.attempts}`,
+      );
+    if (typeof machine !== "string")
+      problems.push(`task ${task} is placed, but its machine is missing`);
     placedTasks.add(task);
   }
   return problems;
@@ -158,11 +168,12 @@
   if (schema !== undefined && !knownSchemas.includes(schema?.version)) {
     addFinding(
       keys.schema,
-      `schema ${String(schema?.version)}; this program knows ${KNOWN_SCHEMA}`,
+      `schema version ${String(schema?.version)} is not supported; this program supports versions up to ${KNOWN_SCHEMA}`,
     );
   }
   if (schema === undefined) {
-    if (leaves.length > 0) addFinding(leaves[0]!, "an archive that no schema tells of");
+    if (leaves.length > 0)
+      addFinding(leaves[0]!, "archive leaf found, but the schema record is missing");
     return;
   }
   let from = "";
@@ -170,9 +181,13 @@
     try {
       const leaf = decodeLeaf({ key, ...image.rows.get(key)! });
       if (leaf.from !== from)
-        addFinding(key, `begins behind "${leaf.from}" and not behind "${from}"`);
+        addFinding(
+          key,
+          `the leaf begins after "${leaf.from}"; expected "${from}", the end of the leaf before`,
+        );
       for (const [id] of leaf.entries) {
-        if (headers.has(id)) addFinding(keys.job(id), `is in the archive as well (${key})`);
+        if (headers.has(id))
+          addFinding(keys.job(id), `the job has a header, but is also in archive leaf ${key}`);
       }
     } catch (error) {
       if (!(error instanceof CorruptLeaf)) throw error;
@@ -183,7 +198,10 @@
   if (from !== LAST)
     addFinding(`${keys.archive}${LAST}`, "the last leaf of the archive is missing");
   if (!image.rows.has(keys.leader)) {
-    addFinding(keys.leader, "nothing keeps programs that do not know the archive from leading");
+    addFinding(
+      keys.leader,
+      "the record that keeps programs without archive support from leading is missing",
+    );
   }
 }
 
@@ -198,12 +216,12 @@
     if (!key.startsWith(prefix)) continue;
     const { value } = image.rows.get(key)!;
     if (!isSliceRecord(value)) {
-      addFinding(key, "not slices of a limit");
+      addFinding(key, "the value is not a valid slice record");
       continue;
     }
     const knownSlices: [cpus: number, gpus: number][] = [];
     for (const [part, slice] of Object.entries(value)) {
-      if (slice === null) addFinding(key, `the slice of part ${part} is not known`);
+      if (slice === null) addFinding(key, `the slice of part ${part} is unknown`);
       else knownSlices.push(slice);
     }
     const team = decodeURIComponent(key.slice(prefix.length));
@@ -214,13 +232,13 @@
     if (cpus > limit.cpus + ROUNDING_TOLERANCE || gpus > limit.gpus + ROUNDING_TOLERANCE) {
       addFinding(
         key,
-        `slices of ${cpus} CPUs and ${gpus} GPUs; the limit is ${limit.cpus}, ${limit.gpus}`,
+        `the slices add up to ${cpus} CPUs and ${gpus} GPUs; the limit is ${limit.cpus} CPUs and ${limit.gpus} GPUs`,
       );
     }
   }
 }
 
-/** A token is the stamp of a claim; what an owner wrote under it is not older than the claim. */
+/** A fencing token is the version of a claim: no fence record may have a token newer than the part's claim. */
 function checkTokens(image: Image, sortedKeys: readonly string[], addFinding: AddFinding): void {
   for (const key of sortedKeys) {
     const fence = /^c\/(\d+)\/fence$/.exec(key);
@@ -228,12 +246,12 @@
     const { value } = image.rows.get(key)!;
     const token = Number(/^(\d+)\.\d+$/.exec(String(value))?.[1] ?? Number.NaN);
     if (Number.isNaN(token)) {
-      addFinding(key, `not an owner's mark: ${String(value)}`);
+      addFinding(key, `expected "<fencing token>.<number>", got "${String(value)}"`);
       continue;
     }
     const claim = image.rows.get(keys.claim(Number(fence[1])));
     if (token > (claim?.version ?? image.revision)) {
-      addFinding(key, `written under token ${token}, which is newer than the part's claim`);
+      addFinding(key, `written under fencing token ${token}, which is newer than the part's claim`);
     }
   }
 }
--- a/src/image/chunk-deduplication.ts
+++ b/src/image/chunk-deduplication.ts
@@ -9,9 +9,10 @@
 }
 
 /**
- * One record for each chunk of a part. A page that has become too large to be written keeps what has
- * gone to newer records since, and a chunk may be in pieces that were written at once (`docs/state.md`).
- * A restore writes all records anew, which would make the order between them another one.
+ * Keeps one state of each chunk of a part: the newest. A page that has become too large to be
+ * rewritten keeps states of chunks that have newer records, and a chunk may be split into pieces that
+ * were written in one transaction (`docs/state.md`). A restore writes all records anew, so their
+ * versions would no longer tell which is newest.
  */
 export function newestOnly(rows: Image["rows"]): Image["rows"] {
   const storedStates = new Map<string, StoredState[]>();
--- a/src/image/collect.ts
+++ b/src/image/collect.ts
@@ -6,28 +6,28 @@
 /** All keys as they were at one revision. */
 export interface Image {
   revision: number;
-  /** Time of day, milliseconds, when reading had come to an end. */
+  /** Wall-clock time in milliseconds when reading was complete. */
   takenAt: number;
   rows: Map<string, { value: unknown; version: number }>;
 }
 
-/** Everything that birchdale keeps: what all watch, what owners of parts keep, the archive. */
+/** All keys of birchdale: the watched keys, the records of parts, the archive. */
 export const PREFIXES = ["w/", "c/", "a/"] as const;
 
-/** Changes came faster than the keys could be read. */
+/** The keys changed faster than they could be read. */
 export class ChangesTooFast extends Error {}
 
 const PAGE_ROWS = 1000;
-/** Pages between two looks at what has changed: of 10,000 changes that are remembered few pass. */
+/** Pages read between two reads of the changes; the service keeps 10,000 changes, few occur in between. */
 const PAGES_PER_FOLLOW = 5;
-/** How often reading of one prefix begins anew before it is given up. */
+/** Attempts to read one prefix before the collection fails. */
 const MAX_ATTEMPTS = 5;
 
 interface PrefixScan {
   prefix: string;
   rows: Row[];
   events: Event[];
-  /** Events up to here are known; null before the first page. */
+  /** Revision up to which events have been read; null before the first page. */
   seenRevision: number | null;
   after: string | null;
   complete: boolean;
@@ -35,11 +35,12 @@
 }
 
 /**
- * Reads all keys while the service runs. Pages come at different revisions, so changes are followed
- * from the first page on and put on top: the image is what was there at one revision, which is not
- * before any page was read. Pages are read as the service answers; who calls it limits the rate.
- * @throws TooFast when more changes pass between two pages than the service remembers, again and
- * again
+ * Reads all keys while the service runs. Pages are read at different revisions, so changes are
+ * followed from the first page on and applied on top. The image is the content at one revision,
+ * which is not lower than that of any page. Pages are read one after the other without a delay; the
+ * caller limits the rate.
+ * @throws ChangesTooFast if repeatedly more changes occur between two reads of the changes than the
+ * service keeps
  */
 export async function collect(store: Pick<Store, "page" | "watch">, clock: Clock): Promise<Image> {
   const scans = PREFIXES.map(
@@ -88,7 +89,7 @@
       }
       next = scans.find(({ complete }) => !complete);
     }
-    // All pages have been read: what the least of these has seenRevision, all have.
+    // All pages have been read: the image is of the lowest revision that all prefixes have reached.
     let revision = Number.POSITIVE_INFINITY;
     for (const scan of scans) {
       const seenRevision = await followChanges(scan);
--- a/src/image/commands.ts
+++ b/src/image/commands.ts
@@ -12,7 +12,7 @@
 import { repairImage } from "./repair.js";
 import { RestoreRefused, restoreImage } from "./restore.js";
 
-/** Runs with a client of the state service that may use a part of what the service allows. */
+/** Runs a function with a client of the state service that uses a share of the allowed request rate. */
 async function withStore<T>(
   settings: Settings,
   rateShare: number,
@@ -35,7 +35,7 @@
 }
 
 /**
- * Fills the state service that settings name from a file.
+ * Fills the state service named in the settings from an image file.
  * @throws ImageError, RestoreRefused
  */
 export async function restoreFile(
@@ -63,12 +63,12 @@
   for (const { key, problem } of findings) process.stderr.write(`${file}: ${key}: ${problem}\n`);
 }
 
-/** `birchdale state ...`: images of all that the state service keeps. */
+/** `birchdale state ...`: images of all data in the state service. */
 export function imageCommands(parent: Command): Command {
   const state = new Command("state")
     .copyInheritedSettings(parent)
-    .description("save, check, show, export and restore all that the state service keeps");
-  // The program's own option, which may stand anywhere on the line.
+    .description("save, show, check, mend, export and restore images of the state service's data");
+  // The program's global option, which may be anywhere on the command line.
   const configFile = (): string | undefined => parent.opts<{ config?: string }>().config;
   const requiredSettings = (): Settings => {
     const file = configFile();
@@ -77,13 +77,16 @@
     }
     return loadSettings(file);
   };
-  state.addHelpText("after", "\nsave and restore need --config <file>, check may have it");
+  state.addHelpText(
+    "after",
+    "\nsave and restore require --config <file>; check and mend use it to check the teams' limits",
+  );
   state
     .command("save")
-    .description("write a consistent image while the service runs")
+    .description("write a consistent image of the running state service")
     .argument("<file>", "the image: a gzipped tar file")
     .action(async (file: string) => {
-      // A quarter of the requests that the service allows: it has other work.
+      // A quarter of the allowed request rate, so that the controllers keep the rest.
       const image = await withStore(requiredSettings(), 0.25, (store) =>
         collect(store, systemClock),
       );
@@ -92,7 +95,7 @@
     });
   state
     .command("show")
-    .description("show what an image holds")
+    .description("print counts of what an image contains")
     .argument("<file>")
     .option("--json", "print JSON")
     .action(async (file: string, { json }: { json?: boolean }) => {
@@ -100,7 +103,7 @@
     });
   state
     .command("check")
-    .description("verify everything that must hold between the records of an image")
+    .description("check the invariants between the records of an image")
     .argument("<file>")
     .action(async (file: string) => {
       const image = await readImage(file);
@@ -113,26 +116,22 @@
     });
   state
     .command("mend")
-    .description("take out of an image what can be done without, so that it can be restored")
+    .description("remove or recompute invalid records of an image, so that it can be restored")
     .argument("<file>", "an image with findings")
     .argument("<mended>", "the image to write")
     .action(async (file: string, mended: string) => {
       const limits =
         configFile() === undefined ? undefined : limitsOf(requiredSettings().params.teams);
-      const {
-        image,
-        repairs: done,
-        remaining: left,
-      } = repairImage(await readImage(file), { limits });
-      printFindings(file, done);
+      const { image, repairs, remaining } = repairImage(await readImage(file), { limits });
+      printFindings(file, repairs);
       await writeImage(mended, image);
-      printLine(`${mended}: ${done.length} mended, ${left.length} left`);
-      printFindings(mended, left);
-      if (left.length > 0) throw new CommanderError(1, "state.mend", "findings");
+      printLine(`${mended}: ${repairs.length} repaired, ${remaining.length} findings left`);
+      printFindings(mended, remaining);
+      if (remaining.length > 0) throw new CommanderError(1, "state.mend", "findings");
     });
   state
     .command("export")
-    .description("write the jobs that are over as a Parquet file")
+    .description("write the finished jobs as a Parquet file")
     .argument("<file>", "an image")
     .argument("<parquet>", "the file to write")
     .action(async (file: string, parquet: string) => {
@@ -141,7 +140,7 @@
     });
   state
     .command("restore")
-    .description("fill an empty state service from an image; stop all controllers first")
+    .description("fill an empty state service from an image (stop all controllers first)")
     .argument("<file>", "an image")
     .action(async (file: string) => {
       let lastShown = 0;
@@ -152,7 +151,7 @@
           process.stderr.write(`${done} of ${all} keys\n`);
         });
         printLine(
-          `${rows} keys restored; tokens are raised by ${tokens}. Start the controllers now.`,
+          `${rows} keys restored; fencing tokens are raised by ${tokens}. Start the controllers now.`,
         );
       } catch (error) {
         if (!(error instanceof RestoreRefused)) throw error;
--- a/src/image/image-file.ts
+++ b/src/image/image-file.ts
@@ -7,7 +7,7 @@
 import { z } from "zod";
 import { type Image, PREFIXES } from "./collect.js";
 
-/** What cannot be read as an image: the file, and in it the entry and line. */
+/** A file cannot be read as an image; the message names the file and, if known, the entry and line. */
 export class ImageError extends Error {
   override readonly name = "ImageError";
 }
@@ -29,8 +29,8 @@
 
 /**
  * Writes an image: a gzipped tar file with a manifest and one file of JSON lines
- * `[key, stamp, value]` for each prefix, in order of keys, with the SHA-256 of each. The file has
- * its name only once it is whole.
+ * `[key, version, value]` for each prefix, in order of key, with the SHA-256 of each. The file is
+ * written under a temporary name and renamed once it is complete.
  */
 export async function writeImage(file: string, image: Image): Promise<void> {
   const keys = [...image.rows.keys()].sort();
@@ -68,8 +68,8 @@
 const sha256Of = (bytes: Buffer): string => createHash("sha256").update(bytes).digest("hex");
 
 /**
- * Reads an image and checks that it is whole; whether what it holds is right is another question
- * (`checkImage`).
+ * Reads an image and verifies that it is complete and undamaged. The invariants between its records
+ * are checked by `checkImage`.
  * @throws ImageError with file, entry and line
  */
 export async function readImage(file: string): Promise<Image> {
@@ -87,31 +87,37 @@
     reading.catch(() => undefined);
     const { code } = error as NodeJS.ErrnoException;
     if (code === "ENOENT" || code === "EACCES" || code === "EISDIR") throw error;
-    throw new ImageError(`${file}: not a whole image (${(error as Error).message})`);
+    throw new ImageError(
+      `${file}: truncated, or not a gzipped tar file (${(error as Error).message})`,
+    );
   }
   const manifestBytes = files.get("manifest.json");
-  if (manifestBytes === undefined) throw new ImageError(`${file}: no manifest.json in it`);
+  if (manifestBytes === undefined) throw new ImageError(`${file}: manifest.json is missing`);
   let parsed: z.infer<typeof manifestSchema>;
   try {
     parsed = manifestSchema.parse(JSON.parse(manifestBytes.toString()));
   } catch {
-    throw new ImageError(`${file}: manifest.json: not the manifest of an image`);
+    throw new ImageError(`${file}: manifest.json: not a valid image manifest`);
   }
   if (parsed.format !== FORMAT) {
-    throw new ImageError(`${file}: format ${parsed.format}; this program reads ${FORMAT}`);
+    throw new ImageError(
+      `${file}: image format ${parsed.format} is not supported; expected format ${FORMAT}`,
+    );
   }
   const rows: Image["rows"] = new Map();
   for (const { name, rows: count, sha256 } of parsed.entries) {
     const bytes = files.get(name);
     if (bytes === undefined) throw new ImageError(`${file}: ${name} is missing`);
-    if (sha256Of(bytes) !== sha256) throw new ImageError(`${file}: ${name}: the checksum is wrong`);
+    if (sha256Of(bytes) !== sha256)
+      throw new ImageError(`${file}: ${name}: the checksum does not match the manifest`);
     const lines = bytes.length === 0 ? [] : bytes.toString().trimEnd().split("\n");
     if (lines.length !== count) {
-      throw new ImageError(`${file}: ${name}: ${lines.length} lines where ${count} should be`);
+      throw new ImageError(`${file}: ${name}: expected ${count} lines, got ${lines.length}`);
     }
     for (const [i, text] of lines.entries()) {
       const row = parseLine(text);
-      if (row === null) throw new ImageError(`${file}: ${name}:${i + 1}: not a key with its value`);
+      if (row === null)
+        throw new ImageError(`${file}: ${name}:${i + 1}: expected [key, version, value]`);
       rows.set(row[0], { value: row[2], version: row[1] });
     }
   }
--- a/src/image/index.ts
+++ b/src/image/index.ts
@@ -1,7 +1,7 @@
 /**
- * Images of all that the state service keeps: taken while the service runs, checked and read
- * without it, and put into an empty one. Used by the command line only; `docs/state.md` explains
- * how an image is consistent and what a restore can lose.
+ * Images of all data in the state service: taken while the service runs, read and checked offline,
+ * and restored into an empty service. Used by the command line only; `docs/state.md` explains why an
+ * image is consistent and what a restore can lose.
  */
 export { type CheckOptions, checkImage, type Finding } from "./check.js";
 export { ChangesTooFast as TooFast, collect, type Image, PREFIXES } from "./collect.js";
--- a/src/image/overview.ts
+++ b/src/image/overview.ts
@@ -10,16 +10,16 @@
   takenAt: string;
   schema: number;
   keys: number;
-  /** Jobs by status: of those that are over, those among the watched keys. */
+  /** Jobs by status; finished jobs in the archive are counted as `archived` only. */
   jobs: { open: number; done: number; cancelled: number; archived: number };
   leaves: number;
-  /** By part: chunks that have a state, and tasks that are placed. */
+  /** By part: the number of chunks that have a state, and of placed tasks. */
   parts: Record<string, { chunks: number; placed: number }>;
-  /** Machines of which the cloud has confirmed that they are gone. */
+  /** Number of machines that the cloud has confirmed to be gone. */
   gone: number;
 }
 
-/** What an image holds, in numbers. What cannot be read is not counted; see `checkImage`. */
+/** Counts what an image contains. Unreadable records are not counted; see `checkImage`. */
 export function overview(image: Image): Overview {
   const jobs = { open: 0, done: 0, cancelled: 0, archived: 0 };
   const parts: Overview["parts"] = {};
@@ -66,10 +66,10 @@
   }
 }
 
-/** Every job of an image that is over, with its final state, in order of ids. */
-export function* finishedJobs(image: Image): Generator<readonly [id: string, past: JobOutcome]> {
+/** Every finished job of an image with its final state, in order of id. */
+export function* finishedJobs(image: Image): Generator<readonly [id: string, outcome: JobOutcome]> {
   const leaves: string[] = [];
-  const unarchived: (readonly [id: string, past: JobOutcome])[] = [];
+  const unarchived: (readonly [id: string, outcome: JobOutcome])[] = [];
   for (const [key, { value }] of image.rows) {
     if (key.startsWith(keys.archive)) leaves.push(key);
     else if (key.startsWith(JOB_HEADER_PREFIX) && isHeader(value)) {
@@ -79,7 +79,7 @@
   }
   unarchived.sort(([a], [b]) => (a < b ? -1 : 1));
   let next = 0;
-  // A leaf at a time: there may be millions of jobs.
+  // One leaf at a time, because there may be millions of jobs.
   for (const key of leaves.sort()) {
     const { value, version } = image.rows.get(key)!;
     for (const entry of entriesOf(key, value, version)) {
--- a/src/image/parquet-export.ts
+++ b/src/image/parquet-export.ts
@@ -2,10 +2,10 @@
 import type { Image } from "./collect.js";
 import { finishedJobs } from "./overview.js";
 
-/** How many rows a group of the file has: what is in memory at a time, here and where it is read. */
+/** Rows per row group: the number held in memory at a time, here and in the reader. */
 const ROW_GROUP_ROWS = 50_000;
 
-type JobBatch = (readonly [id: string, past: JobOutcome])[];
+type JobBatch = (readonly [id: string, outcome: JobOutcome])[];
 
 const toDate = (ms: number | null): Date | null => (ms === null ? null : new Date(ms));
 
@@ -20,12 +20,12 @@
 ];
 
 /**
- * Writes the jobs that are over as a Parquet file: `id`, `status`, `tasks`, `done`, `team`,
- * `accepted` and `over` (timestamps; `team` and `over` may be null), in order of ids.
- * @returns how many
+ * Writes the finished jobs as a Parquet file: `id`, `status`, `tasks`, `done`, `team`,
+ * `accepted` and `over` (timestamps; `team` and `over` may be null), in order of id.
+ * @returns the number of jobs
  */
 export async function exportFinished(image: Image, file: string): Promise<number> {
-  // Nothing else needs the library.
+  // Imported here, because only this function needs the library.
   const { fileWriter, ParquetWriter } = await import("hyparquet-writer");
   const required = { repetition_type: "REQUIRED" } as const;
   const optional = { repetition_type: "OPTIONAL" } as const;
--- a/src/image/repair.ts
+++ b/src/image/repair.ts
@@ -8,24 +8,24 @@
 
 export interface RepairResult {
   image: Image;
-  /** What was done, by key. */
+  /** What was repaired, by key. */
   repairs: Finding[];
-  /** What cannot be mended without guessing; the image can be restored once this is empty. */
+  /** Findings that cannot be repaired without guessing; the image can be restored if there are none. */
   remaining: Finding[];
 }
 
 /**
- * Takes out of an image what can be done without, so that the rest can be restored: states of chunks
- * that cannot be right, and slices that cannot be read. A chunk without a state is begun anew; that
- * is safe since after a restore nothing is placed before every task without a record is gone, and
- * results of tasks that had completed are kept by the platform. Headers, leaves of the archive and the
- * schema are left as they are: what they said cannot be known. A pure function.
+ * Repairs an image so that it can be restored: removes invalid chunk states and recomputes invalid
+ * slices. A chunk without a state starts from the beginning. That is safe: after a restore nothing is
+ * placed until every task without a record is gone, and the platform keeps the results of completed
+ * tasks. Headers, archive leaves and the schema are not changed, because their content cannot be
+ * reconstructed. A pure function.
  */
 export function repairImage(image: Image, options: CheckOptions = {}): RepairResult {
   const rows: Image["rows"] = new Map(image.rows);
-  const done: Finding[] = [];
+  const repairs: Finding[] = [];
   const addRepair = (key: string, problem: string): void => {
-    done.push({ key, problem });
+    repairs.push({ key, problem });
   };
   const headers = headersOf(rows);
   const records = chunkRecordsOf(rows, addRepair);
@@ -36,8 +36,9 @@
     const { key, states } = record;
     const valid = [...states].filter(([name, state]) => {
       const duplicate = record.isPage && duplicates.has(name);
-      const fault = faultOf(record, name, state) ?? (duplicate ? "is in two pages" : null);
-      if (fault !== null) addRepair(key, `${name}: ${fault}; its state is left out`);
+      const fault =
+        faultOf(record, name, state) ?? (duplicate ? "the chunk is in two pages" : null);
+      if (fault !== null) addRepair(key, `${name}: ${fault}; removed the chunk's state`);
       return fault === null;
     });
     if (valid.length === states.size) continue;
@@ -47,13 +48,13 @@
   for (const key of rows.keys()) {
     const fence = /^c\/\d+\/fence$/.test(key);
     if (!fence || /^\d+\.\d+$/.test(String(rows.get(key)!.value))) continue;
-    // Its owner writes another one with its first commit.
+    // The part's owner writes a new one with its first commit.
     rows.delete(key);
-    addRepair(key, "left out");
+    addRepair(key, "not a valid fence record; removed the key");
   }
   repairSlices(image, rows, headers, options, addRepair);
   const repaired = { ...image, rows };
-  return { image: repaired, repairs: done, remaining: checkImage(repaired, options) };
+  return { image: repaired, repairs, remaining: checkImage(repaired, options) };
 }
 
 type AddRepair = (key: string, problem: string) => void;
@@ -70,7 +71,7 @@
 interface ChunkRecord {
   key: string;
   part: number;
-  /** A page; else what a chunk brought along. */
+  /** Whether it is a page; otherwise a handover record, which came with a chunk from another part. */
   isPage: boolean;
   states: Map<string, ChunkState>;
 }
@@ -83,13 +84,13 @@
     const states = readPage(value);
     if (states === null) {
       rows.delete(key);
-      addRepair(key, "cannot be read; all of it is left out");
+      addRepair(key, "not a valid page record; removed the key");
     } else records.push({ key, part: Number(match[1]), isPage: match[2] === "p", states });
   }
   return records;
 }
 
-/** Chunks that are in more than one record: nothing says which of them is right. */
+/** Chunks that are in more than one page: which state is right cannot be determined. */
 function duplicateChunksOf(
   records: readonly ChunkRecord[],
   faultOf: (record: ChunkRecord, name: string, state: ChunkState) => string | null,
@@ -107,8 +108,8 @@
 }
 
 /**
- * Slices that cannot be right become what each part's placed tasks use, and no more: those were
- * within the limit together, and the rest of it is free to take.
+ * Replaces invalid slices by what each part's placed tasks use, and no more: their sum was within the
+ * limit, and parts can acquire the rest of the limit again.
  */
 function repairSlices(
   image: Image,
@@ -121,19 +122,19 @@
   const sliceFindings = checkImage(image, options).filter(({ key }) => key.startsWith(prefix));
   for (const key of new Set(sliceFindings.map((finding) => finding.key))) {
     const team = decodeURIComponent(key.slice(prefix.length));
-    const record: SliceRecord = {};
+    const slices: SliceRecord = {};
     for (const [name, { value }] of rows) {
       const part = /^c\/(\d+)\/[pm]\//.exec(name)?.[1];
       if (part === undefined) continue;
       for (const [chunk, { live }] of readPage(value) ?? []) {
         const spec = headers.get(chunk.slice(0, chunk.lastIndexOf("/")))?.spec;
         if (spec?.team !== team || live.length === 0) continue;
-        const [cpus, gpus] = record[Number(part)] ?? [0, 0];
+        const [cpus, gpus] = slices[Number(part)] ?? [0, 0];
         const { cpus: c = 0, gpus: g = 0 } = spec;
-        record[Number(part)] = [cpus + live.length * c, gpus + live.length * g];
+        slices[Number(part)] = [cpus + live.length * c, gpus + live.length * g];
       }
     }
-    rows.set(key, { value: record, version: rows.get(key)!.version });
-    addRepair(key, "slices are now what is in use");
+    rows.set(key, { value: slices, version: rows.get(key)!.version });
+    addRepair(key, "invalid slices; replaced them by the resources that placed tasks use");
   }
 }
--- a/src/image/restore.ts
+++ b/src/image/restore.ts
@@ -8,7 +8,7 @@
 import { type Image, PREFIXES } from "./collect.js";
 import { retryUnavailable } from "./retry.js";
 
-/** The image was not, or not wholly, put into the service; the reason is one line. */
+/** The image was not restored, or only in part; the message gives the reason in one line. */
 export class RestoreRefused extends Error {
   constructor(
     message: string,
@@ -19,8 +19,8 @@
 }
 
 /**
- * Keys that stand for controllers that are up: those are not the same ones any more. Summaries are
- * hints that would be wrong.
+ * Keys that are not restored. Most describe running controllers, which are other processes after a
+ * restore. Summaries are hints that would be outdated.
  */
 const TRANSIENT_PREFIXES = [
   keys.node(""),
@@ -35,7 +35,7 @@
 const isClaim = (value: unknown): boolean =>
   typeof value === "object" && value !== null && "node" in value && "run" in value;
 
-/** What of an image is put into a new service. */
+/** The rows of an image that are restored, in order of key. */
 export function restorable(image: Image): [key: string, value: unknown][] {
   return [...image.rows]
     .filter(([key, { value }]) => {
@@ -47,9 +47,10 @@
 }
 
 /**
- * A number above every token that a worker can have seen when the image is restored. A token is a
- * stamp, and the former service made at most `writeRps` changes a second after the image was taken;
- * twice that and an hour more, for a time of day that is off and for leases that ended.
+ * A number above every fencing token that a worker can have seen when the image is restored. A token
+ * is a version, and after the image was taken the former service made at most `writeRps` changes a
+ * second. The result allows for twice that rate and one more hour, because clocks may be wrong and
+ * because leases expired.
  */
 export function tokensAbove(image: Image, wallMs: number, writeRps: number): number {
   const earlierTokens = parseRestoreRecord(image.rows.get(keys.restored)?.value)?.tokens ?? 0;
@@ -60,20 +61,21 @@
 export interface RestoreOptions {
   store: Store;
   clock: Clock;
-  /** Changes a second that the former service allowed. */
+  /** Changes per second that the former service allowed. */
   writeRps: number;
-  /** The names of the controllers: none of them may be up when it begins. */
+  /** The names of the controllers: none of them may be running when the restore begins. */
   members?: readonly string[];
-  /** Hears how many of how many rows are there. */
+  /** Called with the number of rows written so far and in all. */
   progress?(done: number, all: number): void;
 }
 
 /**
- * Fills an empty state service from an image. What is there says "filling" first, on which no
- * controller acts, and "settling" in the end, when every row has been read back; so whatever a crash
- * leaves is either ignored by all, and filled by the same call again, or whole.
- * @returns the rows that were put there, and the number that tokens are raised by
- * @throws RestoreRefused when the image is broken, the service is not empty, or holds another image
+ * Fills an empty state service from an image. The restore record is in state "filling" first, in
+ * which no controller acts, and in state "settling" at the end, once every row has been read back. So
+ * after a crash the content is either complete, or ignored by all controllers and completed by
+ * calling this again.
+ * @returns the number of rows written, and the number by which fencing tokens are raised
+ * @throws RestoreRefused if the image has findings, or the service is not empty or has another image
  */
 export async function restoreImage(
   image: Image,
@@ -81,11 +83,14 @@
 ): Promise<{ rows: number; tokens: number }> {
   const findings = checkImage(image);
   if (findings.length > 0) {
-    throw new RestoreRefused(`the image has ${findings.length} findings`, findings);
+    throw new RestoreRefused(
+      `the image has ${findings.length} findings; run "state mend" first`,
+      findings,
+    );
   }
   const wallMs = clock.wall();
   if (wallMs < image.takenAt - 60_000) {
-    throw new RestoreRefused("the image is from the future: this machine's time of day is wrong");
+    throw new RestoreRefused("the image was taken in the future: this machine's clock is wrong");
   }
   const retry = <T>(run: () => Promise<T>): Promise<T> => retryUnavailable(clock, run);
   const { revision, takenAt } = image;
@@ -106,10 +111,11 @@
     const absent = [keys.restored, ...members.map(keys.node)];
     const conditions = absent.map((key) => ({ key, version: 0 }));
     await retry(() => store.transact(conditions, [{ put: keys.restored, value: initialRecord }]));
-    // Whoever was first: that is the one.
+    // If several restores start at once, the first record written counts.
     record = parseRestoreRecord((await retry(() => store.get(keys.restored)))?.value);
   }
-  if (record === null) throw new RestoreRefused("a controller is up: stop all of them first");
+  if (record === null)
+    throw new RestoreRefused("a controller is running: stop all controllers first");
   if (!isDeepStrictEqual(record.image, initialRecord.image)) {
     throw new RestoreRefused("the state service is being filled from another image");
   }
@@ -117,8 +123,8 @@
     throw new RestoreRefused("the state service has been restored from this image already");
   }
   const rows = restorable(image);
-  const marker = await retry(() => store.get(keys.restored));
-  const guard = { key: keys.restored, version: marker!.version };
+  const restoreRow = await retry(() => store.get(keys.restored));
+  const guard = { key: keys.restored, version: restoreRow!.version };
   for (let from = 0; from < rows.length; ) {
     const size = nextBatchSize(rows, from, store);
     const batch = rows.slice(from, from + size);
@@ -132,14 +138,14 @@
   const result = await retry(() =>
     store.transact([guard], [{ put: keys.restored, value: finalRecord }]),
   );
-  const now = parseRestoreRecord((await retry(() => store.get(keys.restored)))?.value);
-  if (!result.ok && now?.state !== "settling") {
-    throw new RestoreRefused("somebody else has changed what was being restored");
+  const currentRecord = parseRestoreRecord((await retry(() => store.get(keys.restored)))?.value);
+  if (!result.ok && currentRecord?.state !== "settling") {
+    throw new RestoreRefused("another process changed the restore record (w/restored)");
   }
   return { rows: rows.length, tokens: record.tokens };
 }
 
-/** How many of the rows fit the next transaction. */
+/** The number of rows that fit the next transaction. */
 function nextBatchSize(
   rows: readonly [string, unknown][],
   from: number,
@@ -166,20 +172,20 @@
   const result = await store.transact([guard, ...when], then);
   if (result.ok) return;
   if (result.failed.includes(keys.restored)) {
-    throw new RestoreRefused("somebody else has changed what was being restored");
+    throw new RestoreRefused("another process changed the restore record (w/restored)");
   }
-  // An earlier try that was not answered, or an earlier run: then what is there is what should be.
+  // Rows of an earlier attempt without an answer, or of an earlier run, have the same values.
   for (const [key, value] of batch) {
     const stored = await store.get(key);
     if (stored === null) {
       await store.transact([guard, { key, version: 0 }], [{ put: key, value }]);
     } else if (!isDeepStrictEqual(stored.value, value)) {
-      throw new RestoreRefused(`${key} is there already, with another value`);
+      throw new RestoreRefused(`${key} already exists with another value`);
     }
   }
 }
 
-/** Reads everything back. */
+/** Reads all rows back and compares them with the image. */
 async function verify(
   store: Store,
   rows: readonly [string, unknown][],
@@ -192,11 +198,12 @@
       const from: string | null = after;
       const page: Page = await retry(() => store.page(prefix, from, 1000));
       for (const { key, value } of page.rows) {
-        // A controller that has come up too early tells of itself, and does nothing else.
-        if (TRANSIENT_PREFIXES.some((passing) => key.startsWith(passing))) continue;
-        if (!expected.has(key)) throw new RestoreRefused(`${key} has come from somewhere else`);
+        // A controller that was started too early writes its presence, and nothing else.
+        if (TRANSIENT_PREFIXES.some((transient) => key.startsWith(transient))) continue;
+        if (!expected.has(key))
+          throw new RestoreRefused(`${key} is not in the image: another process wrote it`);
         if (!isDeepStrictEqual(expected.get(key), value)) {
-          throw new RestoreRefused(`${key} is not what the image has`);
+          throw new RestoreRefused(`${key} differs from the image`);
         }
         expected.delete(key);
       }
@@ -205,5 +212,5 @@
     }
   }
   const [missing] = expected.keys();
-  if (missing !== undefined) throw new RestoreRefused(`${missing} did not arrive`);
+  if (missing !== undefined) throw new RestoreRefused(`${missing} is missing after the restore`);
 }
--- a/src/image/retry.ts
+++ b/src/image/retry.ts
@@ -2,12 +2,12 @@
 import { NoAnswer } from "../http/client.js";
 import { Refused, Rejected } from "../state/store.js";
 
-/** How long the service may refuse, or not answer, before it is given up. */
+/** How long the state service may refuse requests or not answer before an operation fails. */
 const RETRY_TIMEOUT_MS = 300_000;
 
 /**
- * Asks again while the service refuses or does not answer; whoever changes something this way makes
- * sure that doing it twice does no harm.
+ * Retries an operation while the state service refuses it or does not answer. Operations that write
+ * must be idempotent.
  */
 export async function retryUnavailable<T>(clock: Clock, run: () => Promise<T>): Promise<T> {
   const until = clock.now() + RETRY_TIMEOUT_MS;
--- a/test/image.test.ts
+++ b/test/image.test.ts
@@ -91,35 +91,35 @@
  */
 const BROKEN = `
 w/j/wk-open = 7                                              | w/j/wk-open | not a header
-w/j/nonsense = {"status":"done","owners":""}                 | w/j/nonsense | not a job's id
+w/j/nonsense = {"status":"done","owners":""}                 | w/j/nonsense | "nonsense" is not a valid job id
 w/j/wk-open + {"owners":"01"}                                | w/j/wk-open | 2 owners of 3
 w/j/wk-open + {"owners":"0-x"}                               | w/j/wk-open | given it up
 w/j/wk-open + {"spec":null}                                  | w/j/wk-open | without its spec
 w/j/wk-open + {"tasks":0}                                    | w/j/wk-open | 0 tasks
 w/j/wk-done + {"owners":"0"}                                 | w/j/wk-done | parts have chunks
-c/0/p/1 = {"m":[],"c":{"wk-who/0":[1,"",""]}}                | c/0/p/1 | without a header
-c/0/p/1 = {"m":[],"c":{"wk-open/1":[1,"",""]}}               | c/0/p/1 | belongs to part 1
-c/0/p/1 = {"m":[],"c":{"wk-open/2":[1,"",""]}}               | c/0/p/1 | is finished
-c/0/p/1 = {"m":[],"c":{"wk-open/7":[1,"",""]}}               | c/0/p/1 | does not exist
-c/0/p/1 = {"m":[],"c":{"wk-open/0":[3,"1",""]}}              | c/0/p/1 | in c/0/p/0 as well
+c/0/p/1 = {"m":[],"c":{"wk-who/0":[1,"",""]}}                | c/0/p/1 | no valid header
+c/0/p/1 = {"m":[],"c":{"wk-open/1":[1,"",""]}}               | c/0/p/1 | the chunk belongs to part 1
+c/0/p/1 = {"m":[],"c":{"wk-open/2":[1,"",""]}}               | c/0/p/1 | the chunk is finished
+c/0/p/1 = {"m":[],"c":{"wk-open/7":[1,"",""]}}               | c/0/p/1 | the job header has only 3 chunks
+c/0/p/1 = {"m":[],"c":{"wk-open/0":[3,"1",""]}}              | c/0/p/1 | also in page c/0/p/0
 c/0/p/0 = {"m":["a","b"],"c":{"wk-open/0":[3,"","0.1.0,0.2.1"]}} | c/0/p/0 | placed twice
 c/0/p/0 = {"m":["a"],"c":{"wk-open/0":[3,"0","0.1.0"]}}      | c/0/p/0 | done and placed
-c/0/p/0 = {"m":["a"],"c":{"wk-open/0":[3,"1-9",""]}}         | c/0/p/0 | 1-9 of 3
-c/0/p/0 = {"m":["a"],"c":{"wk-open/0":[1,"","0.2.0"]}}       | c/0/p/0 | attempt 2 of 1
-c/0/p/0 = "?"                                                | c/0/p/0 | not a page
+c/0/p/0 = {"m":["a"],"c":{"wk-open/0":[3,"1-9",""]}}         | c/0/p/0 | done tasks 1-9 are out of range: the chunk has 3 tasks
+c/0/p/0 = {"m":["a"],"c":{"wk-open/0":[1,"","0.2.0"]}}       | c/0/p/0 | attempt 2 exceeds the chunk's highest attempt 1
+c/0/p/0 = "?"                                                | c/0/p/0 | not a valid page record
 w/q/red = {"0":[4,0],"1":[3.6,0]}                            | w/q/red | limit is 7.5
-w/q/red = {"0":[-1,0]}                                       | w/q/red | not slices
-w/q/red = {"0":[null,null]}                                  | w/q/red | not slices
-w/q/red = {"0":null}                                         | w/q/red | part 0 is not known
-w/j/wk-a = {"status":"done","owners":"","chunkSize":1,"tasks":3} | w/j/wk-a | archive as well
+w/q/red = {"0":[-1,0]}                                       | w/q/red | not a valid slice record
+w/q/red = {"0":[null,null]}                                  | w/q/red | not a valid slice record
+w/q/red = {"0":null}                                         | w/q/red | part 0 is unknown
+w/j/wk-a = {"status":"done","owners":"","chunkSize":1,"tasks":3} | w/j/wk-a | also in archive leaf a/j/wk-b,
 a/j/~ + {"c":1}                                              | a/j/~ | checksum
-a/j/wk-b, -                                                  | a/j/~ | begins behind "wk-b"
+a/j/wk-b, -                                                  | a/j/~ | begins after "wk-b"; expected ""
 a/j/~ -                                                      | a/j/~ | is missing
-w/schema -                                                   | a/j/wk-b, | no schema
-w/schema = {"version":4}                                     | w/schema | schema 4
+w/schema -                                                   | a/j/wk-b, | the schema record is missing
+w/schema = {"version":4}                                     | w/schema | schema version 4
 w/lead -                                                     | w/lead | from leading
-c/0/fence = "14.1"                                           | c/0/fence | token 14
-c/0/fence = "x"                                              | c/0/fence | mark`;
+c/0/fence = "14.1"                                           | c/0/fence | fencing token 14
+c/0/fence = "x"                                              | c/0/fence | got "x"`;
 
 for (const line of BROKEN.trim().split("\n")) {
   const [damage, key, problem] = line.split("|").map((text) => text.trim()) as [
@@ -232,8 +232,12 @@
   }));
 
 const tampered: [string, (bytes: Buffer) => Buffer, RegExp][] = [
-  ["cut short", (bytes) => bytes.subarray(0, bytes.length - 40), /not a whole image/],
-  ["not gzip", () => Buffer.from("hello"), /not a whole image/],
+  [
+    "cut short",
+    (bytes) => bytes.subarray(0, bytes.length - 40),
+    /truncated, or not a gzipped tar file/,
+  ],
+  ["not gzip", () => Buffer.from("hello"), /truncated, or not a gzipped tar file/],
   ["one value changed", (bytes) => swap(bytes, "host-2", "host-3"), /c\.jsonl: the checksum/],
   ["a manifest that is none", (bytes) => swap(bytes, '"revision"', '"revisiom"'), /manifest/],
   ["a format of the future", (bytes) => swap(bytes, '"format": 1', '"format": 9'), /format 9/],
