--- a/src/archive/index.ts
+++ b/src/archive/index.ts
@@ -15,13 +15,13 @@
   decodeLeaf,
   type Entry,
   encodeLeaf,
-  findOutcome as findIn,
+  findOutcome,
   LAST,
   type Leaf,
   type LeafRecord,
-  lastIdOf as lastOf,
+  lastIdOf,
   leafKey,
-  listingStartOf as beforeLeaf,
+  listingStartOf,
 } from "./leaf.js";
 export { type Guard, Lookups } from "./lookups.js";
 export { leafBytes, type Move, type PlanLimits, planMove } from "./move-plan.js";
--- a/src/image/check.ts
+++ b/src/image/check.ts
@@ -1,4 +1,4 @@
-import { CorruptLeaf, decodeLeaf, LAST, lastOf } from "../archive/index.js";
+import { CorruptLeaf, decodeLeaf, LAST, lastIdOf } from "../archive/index.js";
 import type { ChunkState } from "../jobs/chunk.js";
 import { readPage } from "../jobs/chunk-page.js";
 import { FINISHED, headerError, type JobHeader, partChar } from "../jobs/job-header.js";
@@ -193,7 +193,7 @@
       if (!(error instanceof CorruptLeaf)) throw error;
       addFinding(key, error.message);
     }
-    from = lastOf(key) ?? from;
+    from = lastIdOf(key) ?? from;
   }
   if (from !== LAST)
     addFinding(`${keys.archive}${LAST}`, "the last leaf of the archive is missing");
--- a/src/image/collect.ts
+++ b/src/image/collect.ts
@@ -18,7 +18,7 @@
 export class ChangesTooFast extends Error {}
 
 const PAGE_ROWS = 1000;
-/** Pages read between two reads of the changes; the service keeps 10,000 changes, few occur in between. */
+/** Pages read between two reads of the changes: far fewer changes occur than the 10,000 the service keeps. */
 const PAGES_PER_FOLLOW = 5;
 /** Attempts to read one prefix before the collection fails. */
 const MAX_ATTEMPTS = 5;
--- a/src/image/index.ts
+++ b/src/image/index.ts
@@ -4,10 +4,10 @@
  * image is consistent and what a restore can lose.
  */
 export { type CheckOptions, checkImage, type Finding } from "./check.js";
-export { ChangesTooFast as TooFast, collect, type Image, PREFIXES } from "./collect.js";
+export { ChangesTooFast, collect, type Image, PREFIXES } from "./collect.js";
 export { imageCommands, restoreFile } from "./commands.js";
 export { ImageError, readImage, writeImage } from "./image-file.js";
-export { finishedJobs as finished, type Overview, overview } from "./overview.js";
+export { finishedJobs, type Overview, overview } from "./overview.js";
 export { exportFinished } from "./parquet-export.js";
-export { type RepairResult as Mended, repairImage as mendImage } from "./repair.js";
+export { type RepairResult, repairImage } from "./repair.js";
 export { RestoreRefused, restorable, restoreImage, tokensAbove } from "./restore.js";
--- a/test/archive-model.test.ts
+++ b/test/archive-model.test.ts
@@ -33,15 +33,22 @@
 import { settingsFor } from "./support/platform-settings.js";
 
 const TEAMS = [{ name: "red", cpus: 8, max: 8 }];
-/** Leaves so small that a move of two jobs divides them. */
-const SMALL = { ...LIMITS, valueBytes: 1000, txnBytes: 520 };
-const X = "wk-0005";
-const NEW = "wk-0006";
+/** Leaves are so small that a move of two jobs splits them. */
+const SMALL_LIMITS = { ...LIMITS, valueBytes: 1000, txnBytes: 520 };
+const DONE_JOB = "wk-0005";
+const NEW_JOB = "wk-0006";
 const WALL = 1_700_000_000_000;
 
-const over: JobOutcome = { status: "done", tasks: 1, done: 1, at: WALL, over: WALL, team: "red" };
+const archivedOutcome: JobOutcome = {
+  status: "done",
+  tasks: 1,
+  done: 1,
+  at: WALL,
+  over: WALL,
+  team: "red",
+};
 
-const body = (id: string): object => ({
+const submission = (id: string): object => ({
   ...{ uid: id, eidos: "t", owner: "red", shape: "batch", urgency: "normal", pieces: 1, cores: 1 },
   ...{ accelerators: 0, memGb: 1, together: false, scatter: false, borrowed: true, expectS: 1 },
   ...{ stashEveryS: 0, stashS: 0 },
@@ -55,36 +62,36 @@
 
 interface Options {
   faults: number;
-  /** Conditions that are left out of all transactions, as if the code did not have them. */
-  without?: (condition: Condition, changes: readonly Change[]) => boolean;
+  /** Selects conditions to omit from all transactions, as if the code lacked them. */
+  omit?: (condition: Condition, changes: readonly Change[]) => boolean;
   archive?: boolean;
 }
 
-/** A store with an archive, and as many controllers as are asked for, each with what it has heard. */
-class Stage {
+/** A store, with or without an archive, and controllers that each have their own view of it. */
+class ArchiveModel {
   readonly clock = new FakeClock();
   readonly state: StateService;
   readonly wire: Wire;
-  /** Jobs that are over: they must stay so. */
-  readonly final = new Map<string, string>();
+  /** Finished jobs with their final status, which must not change. */
+  readonly finalStatus = new Map<string, string>();
   readonly accepted = new Set<string>();
-  /** Whatever has to be asked before all begins. */
-  before: (() => Promise<unknown>) | null = null;
+  /** Requests to make before the actors start. */
+  prepare: (() => Promise<unknown>) | null = null;
 
-  constructor(choices: Choices, { faults, without, archive = true }: Options) {
-    this.state = new StateService(this.clock, SMALL);
+  constructor(choices: Choices, { faults, omit, archive = true }: Options) {
+    this.state = new StateService(this.clock, SMALL_LIMITS);
     this.wire = new Wire(this.state, choices, faults, () => this.check());
     if (archive) {
-      const entries = ["wk-0001", "wk-0004", "wk-0009"].map((id) => [id, over] as const);
+      const entries = ["wk-0001", "wk-0004", "wk-0009"].map((id) => [id, archivedOutcome] as const);
       this.put(leafKey(LAST), encodeLeaf("", entries));
       this.put(keys.schema, { version: 2 });
-      for (const [id] of entries) this.final.set(id, "done");
+      for (const [id] of entries) this.finalStatus.set(id, "done");
     }
     const real = this.state.transact.bind(this.state);
-    if (without !== undefined) {
+    if (omit !== undefined) {
       this.state.transact = (when, then) =>
         real(
-          when.filter((one) => !without(one, then)),
+          when.filter((one) => !omit(one, then)),
           then,
         );
     }
@@ -97,12 +104,12 @@
   header(id: string, value: JobHeader): void {
     this.put(keys.job(id), value);
     this.accepted.add(id);
-    if (value.status !== "open") this.final.set(id, value.status);
+    if (value.status !== "open") this.finalStatus.set(id, value.status);
   }
 
-  /** A controller that has heard all there is now, and hears nothing more. */
+  /** A controller whose mirror has all current rows and receives no later changes. */
   controller(who: string): { core: Core; users: JobApi; lookups: Lookups; history: History } {
-    const store = new ChosenStore(this.wire, who, SMALL, this.clock);
+    const store = new ChosenStore(this.wire, who, SMALL_LIMITS, this.clock);
     const mirror = new Mirror(store, this.clock, quiet, 1000);
     const room = { cpus: 4, gpus: 0, memGb: 8, bootS: 1, zones: ["a"], price: 1, spotPrice: 1 };
     const types = new Map([["m", { name: "m", ...room }]]);
@@ -131,13 +138,13 @@
         mirror.apply({ key, value, version, deleted: false });
     }
     mirror.ready = true;
-    // What it waits to hear it does hear, though nothing else of it.
+    // Waiting for a revision delivers the schema row, and nothing else.
     mirror.waitForRevision = async () => {
       const row = this.state.rows.get(keys.schema);
       if (row !== undefined) mirror.apply({ key: keys.schema, ...row, deleted: false });
     };
     mirror.waitUntilCurrent = async () => {
-      // One request that tells of every change until it is executed.
+      // One listing, which shows every change made before it is executed.
       const { rows, revision } = await store.list(JOB_HEADER_PREFIX);
       const present = new Set(rows.map(({ key }) => key));
       for (const row of rows) mirror.apply({ ...row, deleted: false });
@@ -166,7 +173,7 @@
     return { core, users, lookups: new Lookups(store, this.clock, quiet, 1), history };
   }
 
-  /** A leader that moves whatever is over, as its watch told it at some moment. */
+  /** A leader that archives finished jobs, with headers as its watch delivered them at some moment. */
   mover(who: string, seen: readonly Row[], steps: number): () => Promise<void> {
     const { core, lookups } = this.controller(who);
     let left = [...seen].sort((a, b) => (a.key < b.key ? -1 : 1));
@@ -177,7 +184,7 @@
     const leading = { token: 1, claim: { key: keys.leader2, version: 1 }, valid: () => true };
     const mover = new Mover(core, lookups, candidates, leading);
     return async () => {
-      // As the leader's loop does: what was not answered is tried again.
+      // Like the leader's loop, it retries a step that failed.
       for (let step = 0; step < steps; step++) await mover.step().catch(() => undefined);
     };
   }
@@ -206,178 +213,186 @@
 
   check(): void {
     const archived = this.archived;
-    const ids = new Set([...this.accepted, ...this.final.keys()]);
+    const ids = new Set([...this.accepted, ...this.finalStatus.keys()]);
     for (const [key, { value }] of this.state.rows) {
       if (!key.startsWith("w/j/") || !isHeader(value)) continue;
       const id = key.slice(4);
       ids.add(id);
       assert.ok(!archived.has(id), `${id} is archived and has a header: ${value.status}`);
-      const was = this.final.get(id);
-      if (was !== undefined) assert.equal(value.status, was, `${id} went back`);
-      if (value.status !== "open") this.final.set(id, value.status);
+      const was = this.finalStatus.get(id);
+      if (was !== undefined) assert.equal(value.status, was, `${id} changed its final status`);
+      if (value.status !== "open") this.finalStatus.set(id, value.status);
     }
     for (const id of ids) {
       const has = archived.has(id) || this.state.rows.has(keys.job(id));
       assert.ok(has, `${id} is neither archived nor has a header`);
     }
-    for (const [id, status] of this.final) {
+    for (const [id, status] of this.finalStatus) {
       const past = archived.get(id);
       if (past !== undefined) assert.equal(past.status, status);
     }
   }
 }
 
-/** An answer that a user may be given; 503 may come whenever something went wrong. */
-function told(reply: Reply, ...allowed: [status: number, state?: string][]): void {
+/** Verifies that an answer to a user is among those allowed; 503 is always allowed. */
+function assertAnswer(reply: Reply, ...allowed: [status: number, state?: string][]): void {
   const given = bodyOf(reply) as { status?: string };
   if (reply.status === 503) return;
   const fits = allowed.some(([status, state]) => status === reply.status && state === given.status);
   assert.ok(fits, `answered ${reply.status} ${given.status}`);
 }
 
-type Act = () => Promise<void>;
+type Actor = () => Promise<void>;
 
-interface Plot {
+interface Scenario {
   faults: number;
-  /** Whether there is an archive already. */
+  /** Whether an archive exists from the start. */
   archive?: boolean;
-  /** What happens side by side, and before that what each has heard. */
-  acts(stage: Stage): Act[];
+  /** Prepares the store and returns the actors that run concurrently. */
+  actors(model: ArchiveModel): Actor[];
 }
 
-/** Two jobs that are over, and one leaf that both of them divide. */
-const both = (stage: Stage): Row[] => {
-  for (const id of [X, "wk-0007"]) stage.header(id, done);
-  return stage.rows(X, "wk-0007");
+/** Two finished jobs, and one leaf that is split when both are added. */
+const twoDoneJobs = (model: ArchiveModel): Row[] => {
+  for (const id of [DONE_JOB, "wk-0007"]) model.header(id, done);
+  return model.rows(DONE_JOB, "wk-0007");
 };
 
-const PLOTS: Record<string, Plot> = {
-  "a submission is retried while its job is archived and the leaf divided": {
+const SCENARIOS: Record<string, Scenario> = {
+  "a submission is retried while its job is archived and the leaf split": {
     faults: 1,
-    acts: (stage) => {
-      const mover = stage.mover("leader", both(stage), 2);
-      const { users, history } = stage.controller("user");
-      // What it remembers of the archive is from before.
-      stage.before = () => history.find(X);
-      return [mover, async () => told(await users.submit(body(X)), [200, "done"])];
+    actors: (model) => {
+      const mover = model.mover("leader", twoDoneJobs(model), 2);
+      const { users, history } = model.controller("user");
+      // Its cached leaf is from before the move.
+      model.prepare = () => history.find(DONE_JOB);
+      return [
+        mover,
+        async () => assertAnswer(await users.submit(submission(DONE_JOB)), [200, "done"]),
+      ];
     },
   },
-  "two that both think they lead move the same jobs": {
+  "two controllers that both believe to be leader archive the same jobs": {
     faults: 1,
-    acts: (stage) => {
-      const seen = both(stage);
-      return [stage.mover("old", seen, 2), stage.mover("new", seen, 2)];
+    actors: (model) => {
+      const seen = twoDoneJobs(model);
+      return [model.mover("old", seen, 2), model.mover("new", seen, 2)];
     },
   },
-  "two that both think they lead move different jobs into one leaf": {
+  "two controllers that both believe to be leader archive different jobs into one leaf": {
     faults: 1,
-    acts: (stage) => {
-      const [first, second] = both(stage);
-      return [stage.mover("old", [first!], 2), stage.mover("new", [second!], 2)];
+    actors: (model) => {
+      const [first, second] = twoDoneJobs(model);
+      return [model.mover("old", [first!], 2), model.mover("new", [second!], 2)];
     },
   },
-  "a new job is submitted where a leaf is being divided": {
+  "a new job is submitted while its leaf is split": {
     faults: 1,
-    acts: (stage) => {
-      const mover = stage.mover("leader", both(stage), 2);
-      const { users } = stage.controller("user");
+    actors: (model) => {
+      const mover = model.mover("leader", twoDoneJobs(model), 2);
+      const { users } = model.controller("user");
       const submit = async (): Promise<void> => {
-        const reply = await users.submit(body(NEW));
-        told(reply, [201, "pending"], [200, "pending"]);
-        if (reply.status !== 503) stage.accepted.add(NEW);
+        const reply = await users.submit(submission(NEW_JOB));
+        assertAnswer(reply, [201, "pending"], [200, "pending"]);
+        if (reply.status !== 503) model.accepted.add(NEW_JOB);
       };
       return [mover, submit];
     },
   },
-  "polls and a withdrawal race with archiving": {
+  "polls and a cancellation are concurrent with archiving": {
     faults: 0,
-    acts: (stage) => {
-      stage.header(X, done);
-      const [a, b, c] = ["poll", "withdraw", "stranger"].map((who) => stage.controller(who).users);
+    actors: (model) => {
+      model.header(DONE_JOB, done);
+      const [a, b, c] = ["poll", "withdraw", "stranger"].map((who) => model.controller(who).users);
       return [
-        stage.mover("leader", stage.rows(X), 1),
-        async () => told(await a!.show(X), [200, "done"]),
-        async () => told(await b!.cancel(X), [200, "done"]),
-        async () => told(await c!.show("wk-0008"), [404]),
+        model.mover("leader", model.rows(DONE_JOB), 1),
+        async () => assertAnswer(await a!.show(DONE_JOB), [200, "done"]),
+        async () => assertAnswer(await b!.cancel(DONE_JOB), [200, "done"]),
+        async () => assertAnswer(await c!.show("wk-0008"), [404]),
       ];
     },
   },
-  "a job is withdrawn, given up by its part and archived while its withdrawal is repeated": {
+  "a job is cancelled, released by its part and archived while the cancellation is repeated": {
     faults: 1,
-    acts: (stage) => {
-      stage.header(X, open);
-      const [a, b] = ["first", "second"].map((who) => stage.controller(who).users);
-      const { store } = stage.controller("part").core;
-      const key = keys.job(X);
+    actors: (model) => {
+      model.header(DONE_JOB, open);
+      const [a, b] = ["first", "second"].map((who) => model.controller(who).users);
+      const { store } = model.controller("part").core;
+      const key = keys.job(DONE_JOB);
       const part = async (): Promise<void> => {
         const row = await store.get(key);
         if (row === null || !isHeader(row.value) || row.value.status !== "cancelled") return;
-        // It has nothing left of it, and says so.
+        // The part has nothing left of the job and writes that into the header.
         const change = [{ put: key, value: withPartReleased(row.value, 0) }];
         await store.transact([{ key, version: row.version }], change).catch(() => undefined);
-        if (stage.state.rows.has(key)) await stage.mover("leader", stage.rows(X), 1)();
+        if (model.state.rows.has(key)) await model.mover("leader", model.rows(DONE_JOB), 1)();
       };
       return [
-        async () => told(await a!.cancel(X), [200, "cancelled"]),
-        async () => told(await b!.cancel(X), [200, "cancelled"]),
+        async () => assertAnswer(await a!.cancel(DONE_JOB), [200, "cancelled"]),
+        async () => assertAnswer(await b!.cancel(DONE_JOB), [200, "cancelled"]),
         part,
       ];
     },
   },
-  "a submission from before there was an archive is applied after its job went into it": {
+  "a submission from before the archive existed is applied after its job was archived": {
     faults: 1,
     archive: false,
-    acts: (stage) => {
-      stage.put(keys.leader, { node: "n0", run: "r" });
-      const version = stage.state.rows.get(keys.leader)!.version;
-      stage.put(keys.types, []);
-      stage.put(keys.node("n0"), { run: "r", schema: 2 });
-      const [early, later] = ["early", "later"].map((who) => stage.controller(who).users);
+    actors: (model) => {
+      model.put(keys.leader, { node: "n0", run: "r" });
+      const version = model.state.rows.get(keys.leader)!.version;
+      model.put(keys.types, []);
+      model.put(keys.node("n0"), { run: "r", schema: 2 });
+      const [early, later] = ["early", "later"].map((who) => model.controller(who).users);
       const answers: [number, string][] = [
         [201, "pending"],
         [200, "pending"],
         [200, "done"],
       ];
-      const story = async (): Promise<void> => {
-        // Not answered, it may be applied at any time from now on; its sender tries elsewhere.
-        told(await early!.submit(body(NEW)), ...answers);
-        const { core } = stage.controller("leader");
+      const run = async (): Promise<void> => {
+        // Without an answer it may be applied at any later time; the user retries at another controller.
+        assertAnswer(await early!.submit(submission(NEW_JOB)), ...answers);
+        const { core } = model.controller("leader");
         const claim = { key: keys.leader, version };
         const leading = { token: version, claim, valid: () => true };
         for (let i = 0; i < 2; i++) await beginArchive(core, leading).catch(() => undefined);
-        const second = await later!.submit(body(NEW));
-        told(second, ...answers);
+        const second = await later!.submit(submission(NEW_JOB));
+        assertAnswer(second, ...answers);
         if (second.status === 503) return;
-        stage.accepted.add(NEW);
-        const row = stage.state.rows.get(keys.job(NEW));
+        model.accepted.add(NEW_JOB);
+        const row = model.state.rows.get(keys.job(NEW_JOB));
         if (row === undefined || !isHeader(row.value) || row.value.status !== "open") return;
-        stage.header(NEW, doneHeader({ ...row.value, owners: "x" }, WALL));
-        if (stage.state.rows.has(keys.schema)) await stage.mover("leader", stage.rows(NEW), 1)();
+        model.header(NEW_JOB, doneHeader({ ...row.value, owners: "x" }, WALL));
+        if (model.state.rows.has(keys.schema))
+          await model.mover("leader", model.rows(NEW_JOB), 1)();
       };
-      return [story];
+      return [run];
     },
   },
 };
 
-function sceneOf(plot: Plot, choices: Choices, without?: Options["without"]): Scene {
-  const stage = new Stage(choices, { faults: plot.faults, archive: plot.archive, without });
-  const actors = plot.acts(stage);
+function exploredScene(scenario: Scenario, choices: Choices, omit?: Options["omit"]): Scene {
+  const model = new ArchiveModel(choices, {
+    faults: scenario.faults,
+    archive: scenario.archive,
+    omit,
+  });
+  const actors = scenario.actors(model);
   return {
-    wire: stage.wire,
+    wire: model.wire,
     prepare: async () => {
-      await stage.before?.();
+      await model.prepare?.();
     },
     actors,
-    end: () => stage.check(),
+    end: () => model.check(),
   };
 }
 
-for (const [name, plot] of Object.entries(PLOTS)) {
-  test(`archive, all ways: ${name}`, async () => {
-    const { ways, failure } = await explore((choices) => sceneOf(plot, choices));
+for (const [name, scenario] of Object.entries(SCENARIOS)) {
+  test(`archive, all interleavings: ${name}`, async () => {
+    const { ways, failure } = await explore((choices) => exploredScene(scenario, choices));
     const shown = failure === null ? "" : `${failure.error.stack}\n  ${failure.trace.join("\n  ")}`;
     assert.equal(failure, null, shown);
-    assert.ok(ways > 20, `${ways} ways`);
+    assert.ok(ways > 20, `${ways} interleavings`);
   });
 }
 
@@ -385,28 +400,30 @@
 const puts = (changes: readonly Change[], prefix: string): boolean =>
   changes.some((one) => "put" in one && one.put.startsWith(prefix));
 
-/** Each guard taken out once: some way must go wrong. */
-const GUARDS: [string, string, NonNullable<Options["without"]>][] = [
+/** Each condition omitted once: some interleaving must then fail. */
+const REQUIRED_CONDITIONS: [string, string, NonNullable<Options["omit"]>][] = [
   [
-    "that a new job depends on its leaf",
-    "a submission is retried while its job is archived and the leaf divided",
+    "of a new job on its leaf",
+    "a submission is retried while its job is archived and the leaf split",
     (condition, changes) => isLeaf(condition) && puts(changes, "w/j/"),
   ],
   [
-    "that a move depends on the leaf",
-    "two that both think they lead move different jobs into one leaf",
+    "of a move on the leaf",
+    "two controllers that both believe to be leader archive different jobs into one leaf",
     (condition, changes) => isLeaf(condition) && puts(changes, "a/j/"),
   ],
   [
-    "that a new job depends on the schema",
-    "a submission from before there was an archive is applied after its job went into it",
+    "of a new job on the schema",
+    "a submission from before the archive existed is applied after its job was archived",
     ({ key }, changes) => key === keys.schema && puts(changes, "w/j/"),
   ],
 ];
 
-for (const [guard, scene, without] of GUARDS) {
-  test(`archive, all ways: without the guard ${guard}, something goes wrong`, async () => {
-    const { failure } = await explore((choices) => sceneOf(PLOTS[scene]!, choices, without));
-    assert.notEqual(failure, null, "no way went wrong");
+for (const [condition, scenario, omit] of REQUIRED_CONDITIONS) {
+  test(`archive, all interleavings: without the condition ${condition}, an interleaving fails`, async () => {
+    const { failure } = await explore((choices) =>
+      exploredScene(SCENARIOS[scenario]!, choices, omit),
+    );
+    assert.notEqual(failure, null, "no interleaving failed");
   });
 }
--- a/test/archive.test.ts
+++ b/test/archive.test.ts
@@ -3,18 +3,18 @@
 import fc from "fast-check";
 import { CoalescedReads } from "../src/archive/coalesced-reads.js";
 import {
-  beforeLeaf,
   CorruptLeaf,
   covers,
   decodeLeaf,
   type Entry,
   encodeLeaf,
-  findIn,
+  findOutcome,
   LAST,
   type Leaf,
   Lookups,
   leafBytes,
   leafKey,
+  listingStartOf,
   planMove,
 } from "../src/archive/index.js";
 import { GoneMachines } from "../src/controller/gone-machines.js";
@@ -36,7 +36,7 @@
 import { Year } from "./support/year.js";
 
 const ID = fc.stringMatching(/^wk-[0-9A-Za-z][0-9A-Za-z_.-]{0,12}$/);
-const PAST: fc.Arbitrary<JobOutcome> = fc
+const OUTCOME: fc.Arbitrary<JobOutcome> = fc
   .record({
     status: fc.constantFrom("done" as const, "cancelled" as const),
     tasks: fc.integer({ min: 1, max: 100_000 }),
@@ -54,33 +54,33 @@
     team,
   }));
 const ENTRIES = fc
-  .uniqueArray(fc.tuple(ID, PAST), { selector: ([id]) => id, maxLength: 40 })
+  .uniqueArray(fc.tuple(ID, OUTCOME), { selector: ([id]) => id, maxLength: 40 })
   .map((list) => list.sort(([a], [b]) => (a < b ? -1 : 1)) as Entry[]);
 
-const ended = (tasks: number, at: number, over: number | null): JobOutcome => ({
+const doneOutcome = (tasks: number, at: number, over: number | null): JobOutcome => ({
   ...{ status: "done", tasks, done: tasks },
   ...{ at, over, team: "red" },
 });
 
 const row = (key: string, value: unknown, version = 1): Row => ({ key, value, version });
 
-test("leaves: what is put in comes out", () => {
+test("leaves: decoding returns the encoded entries", () => {
   fc.assert(
     fc.property(ENTRIES, (entries) => {
       const leaf = decodeLeaf(row(leafKey(LAST), encodeLeaf("", entries)));
       assert.deepEqual(leaf.entries, entries);
-      for (const [id, past] of entries) assert.deepEqual(findIn(leaf.entries, id), past);
+      for (const [id, past] of entries) assert.deepEqual(findOutcome(leaf.entries, id), past);
     }),
   );
 });
 
-test("leaves: about 16 bytes a job, with ids as they are mostly", () => {
-  const dice = new Random(1);
+test("leaves: about 16 bytes per job with sequential ids", () => {
+  const random = new Random(1);
   const entries = Array.from({ length: 200 }, (_, i): Entry => {
-    const at = 1_764_000_000_000 + dice.int(0, 86_400_000);
-    const tasks = dice.int(1, 60);
-    const over = at + dice.int(20_000, 900_000);
-    const team = dice.pick(["telemetria", "oceanografia", "costero"]);
+    const at = 1_764_000_000_000 + random.int(0, 86_400_000);
+    const tasks = random.int(1, 60);
+    const over = at + random.int(20_000, 900_000);
+    const team = random.pick(["telemetria", "oceanografia", "costero"]);
     return [
       `wk-${String(i * 3).padStart(6, "0")}`,
       { status: "done", tasks, done: tasks, at, over, team },
@@ -90,7 +90,7 @@
   assert.ok(bytes < 19, `${bytes} bytes a job`);
 });
 
-test("leaves: one changed character anywhere is found out", () => {
+test("leaves: any single changed character is detected", () => {
   fc.assert(
     fc.property(
       ENTRIES,
@@ -108,27 +108,27 @@
   );
 });
 
-const one = encodeLeaf("wk-3", [
+const validRecord = encodeLeaf("wk-3", [
   ["wk-5", { status: "done", tasks: 1, done: 1, at: 0, over: null, team: null }],
 ]);
-const BAD: [string, Row][] = [
-  ["no record", row(leafKey(LAST), 7)],
-  ["a field is missing", row(leafKey(LAST), { ...one, b: undefined })],
-  ["a count that is wrong", row(leafKey(LAST), { ...one, n: 2 })],
-  ["an id beyond its range", row(leafKey("wk-4"), one)],
-  ["not its key", row("a/j/wk-5", one)],
+const INVALID_ROWS: [string, Row][] = [
+  ["a value that is not a record", row(leafKey(LAST), 7)],
+  ["a missing field", row(leafKey(LAST), { ...validRecord, b: undefined })],
+  ["a wrong count", row(leafKey(LAST), { ...validRecord, n: 2 })],
+  ["an id outside the range", row(leafKey("wk-4"), validRecord)],
+  ["a key that is not a leaf key", row("a/j/wk-5", validRecord)],
 ];
-for (const [name, bad] of BAD) {
+for (const [name, bad] of INVALID_ROWS) {
   test(`leaves: refuses ${name}`, () => assert.throws(() => decodeLeaf(bad), CorruptLeaf));
 }
 
-test("leaves: the first key behind an id is its leaf, however ids begin with one another", () => {
+test("leaves: the first key after an id is its leaf, also if ids are prefixes of one another", () => {
   fc.assert(
     fc.property(fc.uniqueArray(ID, { minLength: 1, maxLength: 20 }), ID, (ends, id) => {
       const lasts = [...ends.sort(), LAST];
       const listed = lasts.map(leafKey).sort();
       assert.deepEqual(listed, lasts.map(leafKey), "keys sort as the ids do");
-      const found = listed.findIndex((key) => key > beforeLeaf(id));
+      const found = listed.findIndex((key) => key > listingStartOf(id));
       assert.equal(
         found,
         lasts.findIndex((last) => last === LAST || last >= id),
@@ -143,7 +143,7 @@
   ...(team === null ? {} : { team }),
 });
 
-test("moves: nothing is lost or doubled, ranges stay whole, and every limit is kept", () => {
+test("moves: no job is lost or duplicated, ranges have no gaps, and all limits are respected", () => {
   fc.assert(
     fc.property(
       ENTRIES,
@@ -156,7 +156,7 @@
         const rows = fresh.map(([id, past]) => row(keys.job(id), headerOf(past), 3));
         const limits = { changes, leafBytes: most, txnBytes: 48 * 1024 };
         const move = planMove(leaf, rows, limits);
-        // A leaf within its size takes something at least: it becomes two at the most.
+        // A leaf within the size limit always accepts a job: it is split into at most two.
         const full = jsonBytes(encodeLeaf("", kept)) > most;
         if (move === null) return assert.ok(fresh.length === 0 || full);
         assert.deepEqual(
@@ -179,7 +179,7 @@
         const moved = new Set(move.moved.map(({ key }) => key.slice(4)));
         assert.equal(all.length, kept.length + moved.size);
         for (const id of moved) assert.ok(all.some(([name]) => name === id));
-        // Everything that it changes it has seen before.
+        // Every changed key is also a condition.
         for (const change of move.changes) {
           const key = "put" in change ? change.put : change.remove;
           assert.ok(
@@ -192,13 +192,13 @@
   );
 });
 
-test("moves: ids that only grow leave full leaves behind", () => {
+test("moves: with increasing ids, split leaves are left nearly full", () => {
   const limits = { changes: 12, leafBytes: leafBytes(LIMITS), txnBytes: LIMITS.txnBytes };
   let leaves: Leaf[] = [{ key: leafKey(LAST), version: 1, from: "", last: LAST, entries: [] }];
   for (let i = 0; i < 3000; i += 10) {
     const rows = Array.from({ length: 10 }, (_, j) => {
       const id = `wk-${String(i + j).padStart(6, "0")}`;
-      return row(keys.job(id), headerOf(ended(4, i * 1000, i * 1000 + 60_000)));
+      return row(keys.job(id), headerOf(doneOutcome(4, i * 1000, i * 1000 + 60_000)));
     });
     const move = planMove(leaves.at(-1)!, rows, limits)!;
     assert.equal(move.moved.length, 10);
@@ -211,7 +211,7 @@
   assert.ok(mean > limits.leafBytes * 0.8, `${mean} of ${limits.leafBytes}`);
 });
 
-test("cancelled jobs: over for good once no part has anything of them", () => {
+test("cancelled jobs: fully released once no part has any state of them", () => {
   const spec = { team: "red" } as JobHeader["spec"];
   const header: JobHeader = {
     ...headerOf({ status: "cancelled", tasks: 3, done: 0, at: 0, over: 5, team: null }),
@@ -221,28 +221,28 @@
   assert.ok(!isFullyReleased(header));
   const half = withPartReleased(header, 1);
   assert.equal(half.owners, "0x-");
-  assert.ok(!isFullyReleased(half) && half.spec !== undefined, "part 0 may still run by it");
+  assert.ok(!isFullyReleased(half) && half.spec !== undefined, "part 0 may still run tasks of it");
   const all = withPartReleased(half, 0);
   assert.ok(isFullyReleased(all));
   assert.deepEqual([all.spec, all.team], [undefined, "red"]);
   assert.ok(isFullyReleased(doneHeader(header, 7)));
 });
 
-test("a year, in small: jobs in no order, each found again at any later time", async () => {
+test("archive: jobs archived in random order are all found later", async () => {
   const year = new Year({ ...LIMITS, ops: 24, conditions: 96, rps: 1e9 });
-  const dice = new Random(11);
+  const random = new Random(11);
   const ids = Array.from({ length: 12_000 }, (_, i) => `wk-${String(i * 7).padStart(6, "0")}`);
   for (let i = ids.length - 1; i > 0; i--) {
-    const j = dice.int(0, i);
+    const j = random.int(0, i);
     [ids[i], ids[j]] = [ids[j]!, ids[i]!];
   }
   for (let i = 0; i < ids.length; i += 50) {
     await year.archive(
       ids.slice(i, i + 50).map((id) => {
-        return [id, headerOf(ended(1 + (Number(id.slice(3)) % 40), i * 1000, null))];
+        return [id, headerOf(doneOutcome(1 + (Number(id.slice(3)) % 40), i * 1000, null))];
       }),
     );
-    const id = ids[dice.int(0, i + 49)]!;
+    const id = ids[random.int(0, i + 49)]!;
     assert.equal((await year.lookups.find(id))?.tasks, 1 + (Number(id.slice(3)) % 40));
     assert.equal(await year.lookups.find(`${id}x`), null);
   }
@@ -252,13 +252,13 @@
   assert.equal([...year.state.rows.keys()].filter((key) => key.startsWith("w/")).length, 0);
 });
 
-// ---- looking up ----------------------------------------------------------------------------
+// ---- lookups --------------------------------------------------------------------------------
 
-function filled(count: number) {
+function filledArchive(count: number) {
   const { clock, state, store } = service(1, { ...LIMITS, rps: 200 });
   const entries = Array.from({ length: count }, (_, i): Entry => {
     const id = `wk-${String(i).padStart(6, "0")}`;
-    return [id, ended(2, 0, 1000)];
+    return [id, doneOutcome(2, 0, 1000)];
   });
   let from = "";
   for (let i = 0; i < count; i += 100) {
@@ -270,13 +270,13 @@
   return { clock, state, store, lookups: new Lookups(store, clock, quiet, 5) };
 }
 
-test("look-ups: a thousand polls a second for unknown ids cost what their budget allows", async () => {
-  const { clock, store, lookups } = filled(5000);
+test("lookups: a thousand polls per second for unknown ids stay within the rate limit", async () => {
+  const { clock, store, lookups } = filledArchive(5000);
   let requests = 0;
   const page = store.page.bind(store);
-  store.page = (...asked) => {
+  store.page = (...args) => {
     requests++;
-    return page(...asked);
+    return page(...args);
   };
   const outcomes = { none: 0, refused: 0 };
   for (let second = 0; second < 10; second++) {
@@ -296,12 +296,13 @@
   }
   await clock.run(5000);
   assert.equal(outcomes.none + outcomes.refused, 10_000);
-  // 200 a second for five controllers; a quarter of one's part is 10 a second, and as many at first.
+  // 200 requests per second for five controllers; a quarter of one share is 10 per second, and the
+  // initial burst is as large.
   assert.ok(requests <= 10 * 10 + 10, `${requests} requests`);
-  assert.ok(outcomes.none > requests, "one reading answers many");
+  assert.ok(outcomes.none > requests, "one read answers many lookups");
 });
 
-test("look-ups: whoever asks during a reading gets one that begins afterwards", async () => {
+test("lookups: a caller during a read gets the result of a read that begins later", async () => {
   const shared = new CoalescedReads<number>();
   const gates: (() => void)[] = [];
   let begun = 0;
@@ -312,7 +313,7 @@
   const first = shared.run("a", read);
   const [second, third] = [shared.run("a", read), shared.run("a", read)];
   const other = shared.run("b", read);
-  assert.equal(begun, 2, "the second reading of a waits");
+  assert.equal(begun, 2, "the second read of a waits");
   gates[0]!();
   assert.equal(await first, 1);
   await new Promise((resolve) => setImmediate(resolve));
@@ -322,7 +323,7 @@
   assert.equal(await other, 2);
 });
 
-test("look-ups: a reading that fails fails its askers, and the next ones are served", async () => {
+test("lookups: a failed read fails its callers only; the next read succeeds", async () => {
   const shared = new CoalescedReads<number>();
   const first = shared.run("a", () => Promise.reject(new Error("no")));
   const second = shared.run("a", () => Promise.resolve(2));
@@ -330,9 +331,9 @@
   assert.equal(await second, 2);
 });
 
-const DAMAGE: [string, (state: StateService) => void, string][] = [
+const DAMAGED_LEAVES: [string, (state: StateService) => void, string][] = [
   [
-    "its leaf has a wrong checksum",
+    "a wrong checksum in its leaf",
     (state) => {
       const key = leafKey("wk-000199");
       state.transact(
@@ -343,30 +344,30 @@
     "wk-000150",
   ],
   [
-    "its leaf is missing",
+    "its leaf missing",
     (state) => {
       state.transact([], [{ remove: leafKey("wk-000199") }]);
     },
     "wk-000150",
   ],
   [
-    "the last leaf is missing",
+    "the last leaf missing",
     (state) => {
       state.transact([], [{ remove: leafKey(LAST) }]);
     },
     "wk-000950",
   ],
 ];
-for (const [name, damage, id] of DAMAGE) {
-  test(`look-ups: nothing is guessed of a job where ${name}; the rest is served`, async () => {
-    const { clock, state, lookups } = filled(1000);
+for (const [name, damage, id] of DAMAGED_LEAVES) {
+  test(`lookups: fail for a job with ${name}; other leaves are served`, async () => {
+    const { clock, state, lookups } = filledArchive(1000);
     damage(state);
-    const asked = lookups.find(id);
-    asked.catch(() => undefined);
+    const pending = lookups.find(id);
+    pending.catch(() => undefined);
     const guard = lookups.guard(id);
     guard.catch(() => undefined);
     await clock.run(1000);
-    await assert.rejects(asked, CorruptLeaf);
+    await assert.rejects(pending, CorruptLeaf);
     await assert.rejects(guard, CorruptLeaf);
     const other = lookups.find("wk-000042");
     await clock.run(1000);
@@ -376,7 +377,7 @@
 
 // ---- the watched keys ------------------------------------------------------------------------
 
-function watched(rows: number) {
+function mirrorOf(rows: number) {
   const { clock, state, store } = service(3);
   for (let i = 0; i < rows; i++)
     state.transact([], [{ put: `w/k/${String(i).padStart(5, "0")}`, value: i }]);
@@ -384,7 +385,7 @@
   return { clock, state, store, mirror };
 }
 
-const same = (mirror: Mirror, state: StateService): void => {
+const assertSameRows = (mirror: Mirror, state: StateService): void => {
   assert.deepEqual(
     [...mirror.rows].map(([key, { value, version }]) => [key, value, version]).sort(),
     [...state.rows]
@@ -394,31 +395,31 @@
   );
 };
 
-test("mirror: reading survives changes that pass meanwhile, more of them than are remembered", async () => {
-  const { clock, state, store, mirror } = watched(4500);
-  const dice = new Random(4);
+test("mirror: a listing is not restarted when more changes occur during it than the service keeps", async () => {
+  const { clock, state, store, mirror } = mirrorOf(4500);
+  const random = new Random(4);
   const page = store.page.bind(store);
   let pages = 0;
-  store.page = async (...asked) => {
+  store.page = async (...args) => {
     pages++;
-    const found = await page(...asked);
-    // 8,000 of 10,000 that are remembered, between any two pages.
+    const found = await page(...args);
+    // Between two pages, 8,000 changes of the 10,000 that the service keeps.
     for (let i = 0; i < 8000; i++) {
-      const key = `w/k/${String(dice.int(0, 6000)).padStart(5, "0")}`;
-      state.transact([], [dice.chance(0.3) ? { remove: key } : { put: key, value: -i }]);
+      const key = `w/k/${String(random.int(0, 6000)).padStart(5, "0")}`;
+      state.transact([], [random.chance(0.3) ? { remove: key } : { put: key, value: -i }]);
     }
     return found;
   };
   void mirror.run();
   await clock.run(3000);
   assert.ok(mirror.ready);
-  assert.ok(pages <= 8, `${pages} pages: it never began anew`);
-  same(mirror, state);
+  assert.ok(pages <= 8, `${pages} pages: the listing was restarted`);
+  assertSameRows(mirror, state);
   mirror.stop();
 });
 
-test("mirror: when changes were missed twice in a row, it reads again and is right", async () => {
-  const { clock, state, store, mirror } = watched(2500);
+test("mirror: after changes were missed twice in a row, it lists again and is complete", async () => {
+  const { clock, state, store, mirror } = mirrorOf(2500);
   let floods = 2;
   const watch = store.watch.bind(store);
   store.watch = async (prefix, after, waitMs) => {
@@ -435,28 +436,28 @@
   await clock.run(5000);
   assert.equal(floods, 0);
   assert.ok(mirror.ready);
-  same(mirror, state);
+  assertSameRows(mirror, state);
   mirror.stop();
 });
 
-test("mirror: a page that does not come is asked for again, and what has been read stays", async () => {
-  const { clock, state, store, mirror } = watched(3500);
+test("mirror: a refused page is requested again without restarting the listing", async () => {
+  const { clock, state, store, mirror } = mirrorOf(3500);
   const page = store.page.bind(store);
-  const asked: (string | null)[] = [];
+  const requestedAfter: (string | null)[] = [];
   store.page = (prefix, after, most) => {
-    asked.push(after);
-    if (asked.length === 3) throw new Refused("503");
+    requestedAfter.push(after);
+    if (requestedAfter.length === 3) throw new Refused("503");
     return page(prefix, after, most);
   };
   void mirror.run();
   await clock.run(5000);
-  assert.equal(asked.filter((after) => after === null).length, 1);
-  same(mirror, state);
+  assert.equal(requestedAfter.filter((after) => after === null).length, 1);
+  assertSameRows(mirror, state);
   mirror.stop();
 });
 
-test("mirror: deletions are remembered while an answer may bring one back, and no longer", async () => {
-  const { clock, state, mirror } = watched(0);
+test("mirror: deletions are remembered only while a late answer may restore the key", async () => {
+  const { clock, state, mirror } = mirrorOf(0);
   void mirror.run();
   await clock.run(1000);
   for (let i = 0; i < 3000; i++) {
@@ -466,19 +467,19 @@
   }
   const version = state.revision - 1;
   await clock.run(1500);
-  // Read before it was deleted, answered after.
+  // The row was read before its deletion, and the answer arrives after it.
   mirror.applyIfNotRelisted(
     { key: "w/k/2999", value: 2999, version, deleted: false },
     mirror.listingEpoch(),
   );
-  assert.equal(mirror.rows.size, 0, "a deleted key has come back");
+  assert.equal(mirror.rows.size, 0, "a deleted key is in the mirror again");
   await clock.run(300_000);
   assert.equal(mirror.remembered, 0);
   mirror.stop();
 });
 
-test("mirror: an answer from before a listing does not bring back what the listing passed over", async () => {
-  const { clock, state, mirror } = watched(0);
+test("mirror: an answer from before a listing does not restore a row that the listing skipped", async () => {
+  const { clock, state, mirror } = mirrorOf(0);
   state.transact([], [{ put: "w/j/x", value: "open" }]);
   const early = { key: "w/j/x", value: "open", version: state.revision, deleted: false };
   const mark = mirror.listingEpoch();
@@ -487,12 +488,12 @@
   void mirror.run();
   await clock.run(1000);
   mirror.applyIfNotRelisted(early, mark);
-  assert.equal(mirror.rows.get("w/j/x"), undefined, "an older state of it is in memory now");
+  assert.equal(mirror.rows.get("w/j/x"), undefined, "the mirror has an older state of the row");
   mirror.stop();
 });
 
-test("returned machines: known while their record is there", () => {
-  const { mirror } = watched(0);
+test("gone machines: known while their record exists", () => {
+  const { mirror } = mirrorOf(0);
   const told: string[] = [];
   const gone = new GoneMachines(mirror, (machines) => told.push(...machines));
   mirror.apply({ key: "w/g/1-1", value: ["a", "b"], version: 1, deleted: false });
--- a/test/image.test.ts
+++ b/test/image.test.ts
@@ -7,17 +7,17 @@
 import { asyncBufferFromFile, parquetReadObjects } from "hyparquet";
 import { type Entry, encodeLeaf, LAST, leafKey } from "../src/archive/index.js";
 import {
+  ChangesTooFast,
   checkImage,
   collect,
   exportFinished,
   type Image,
   ImageError,
-  mendImage,
   overview,
   RestoreRefused,
   readImage,
+  repairImage,
   restoreImage,
-  TooFast,
   tokensAbove,
   writeImage,
 } from "../src/image/index.js";
@@ -27,7 +27,7 @@
 import { Random } from "./support/random.js";
 import { service } from "./support/store.js";
 
-const past = (status: JobOutcome["status"]): JobOutcome => ({
+const outcomeOf = (status: JobOutcome["status"]): JobOutcome => ({
   status,
   tasks: 3,
   done: status === "done" ? 3 : 1,
@@ -36,8 +36,8 @@
   team: "red",
 });
 
-/** A small cluster as it should be: two parts, a job in both, one done, one cancelled; in lines. */
-const SOUND = `
+/** Valid rows of a small cluster: two parts, a job in both, one job done, one cancelled. */
+const VALID_ROWS = `
 w/schema {"version":2}
 w/lead {"schema":2}
 w/2/lead {"node":"n0","run":"r"}
@@ -58,20 +58,20 @@
 c/1/m/wk-open/1 {"m":[],"c":{"wk-open/1":[1,"0",""]}}
 c/0/fence "9.4"`;
 
-/** The same with an archive of two leaves. */
-function sound(): Image {
-  const rows = SOUND.trim()
+/** A valid image: these rows and an archive of two leaves. */
+function validImage(): Image {
+  const rows = VALID_ROWS.trim()
     .split("\n")
     .map((line): [string, unknown] => {
       const blank = line.indexOf(" ");
       return [line.slice(0, blank), JSON.parse(line.slice(blank))];
     });
   const first: Entry[] = [
-    ["wk-a", past("done")],
-    ["wk-b", past("cancelled")],
+    ["wk-a", outcomeOf("done")],
+    ["wk-b", outcomeOf("cancelled")],
   ];
   rows.push([leafKey("wk-b"), encodeLeaf("", first)]);
-  rows.push([leafKey(LAST), encodeLeaf("wk-b", [["wk-c", past("done")]])]);
+  rows.push([leafKey(LAST), encodeLeaf("wk-b", [["wk-c", outcomeOf("done")]])]);
   return {
     revision: 100,
     takenAt: 1_764_000_100_000,
@@ -81,15 +81,15 @@
 
 const limits = new Map([["red", { cpus: 7.5, gpus: 0 }]]);
 
-test("check: a sound image has no findings", () => {
-  assert.deepEqual(checkImage(sound(), { limits }), []);
+test("check: a valid image has no findings", () => {
+  assert.deepEqual(checkImage(validImage(), { limits }), []);
 });
 
 /**
- * Each line damages one key: `key = value` puts it there, `key + value` changes fields of it, `key -`
- * removes it. Then the key that has to be named, and what has to be said of it.
+ * Each line damages one key: `key = value` writes it, `key + value` changes some of its fields, `key -`
+ * removes it. Then the key of the expected finding, and a part of its text.
  */
-const BROKEN = `
+const DAMAGES = `
 w/j/wk-open = 7                                              | w/j/wk-open | not a header
 w/j/nonsense = {"status":"done","owners":""}                 | w/j/nonsense | "nonsense" is not a valid job id
 w/j/wk-open + {"owners":"01"}                                | w/j/wk-open | 2 owners of 3
@@ -121,14 +121,14 @@
 c/0/fence = "14.1"                                           | c/0/fence | fencing token 14
 c/0/fence = "x"                                              | c/0/fence | got "x"`;
 
-for (const line of BROKEN.trim().split("\n")) {
+for (const line of DAMAGES.trim().split("\n")) {
   const [damage, key, problem] = line.split("|").map((text) => text.trim()) as [
     string,
     string,
     string,
   ];
-  test(`check: names ${key} after ${damage}`, () => {
-    const image = sound();
+  test(`check: reports ${key} after ${damage}`, () => {
+    const image = validImage();
     const [, name, how, json] = /^(\S+) ([-=+]) ?(.*)$/.exec(damage)!;
     const known = image.rows.get(name!);
     const given = json === "" ? undefined : JSON.parse(json!);
@@ -143,8 +143,8 @@
   });
 }
 
-test("check: names a key whose stamp is beyond the revision", () => {
-  const image = sound();
+test("check: reports a key whose version is greater than the revision", () => {
+  const image = validImage();
   image.rows.set("w/types", { value: [], version: 101 });
   assert.deepEqual(
     checkImage(image).map(({ key }) => key),
@@ -152,54 +152,73 @@
   );
 });
 
-const GONE_ONLY = { m: ["host-2"], c: { "wk-gone/0": [1, "", "2.1.0"] } };
-/** A damaged key, and how one is mended: it goes, or what is left of it; others are left alone. */
-const MENDED: [what: string, hurt: string, bad: unknown, key: string, value: unknown][] = [
-  ["no page", "c/0/p/0", "?", "c/0/p/0", undefined],
-  ["another part's", "c/0/p/1", { m: [], c: { "wk-open/1": [1, "", ""] } }, "c/0/p/1", undefined],
-  ["in two pages", "c/0/p/1", { m: [], c: { "wk-open/0": [3, "1", ""] } }, "c/0/p/0", GONE_ONLY],
-  ["too large slices", "w/q/red", { 0: [4, 0], 1: [3.6, 0] }, "w/q/red", { 0: [4, 0] }],
+const ONLY_CANCELLED_JOB = { m: ["host-2"], c: { "wk-gone/0": [1, "", "2.1.0"] } };
+/** A damaged key, the key that is repaired, and its value after that; other keys must not change. */
+const REPAIRS: [
+  what: string,
+  damagedKey: string,
+  damagedValue: unknown,
+  key: string,
+  value: unknown,
+][] = [
+  ["an invalid page", "c/0/p/0", "?", "c/0/p/0", undefined],
+  [
+    "a chunk of another part",
+    "c/0/p/1",
+    { m: [], c: { "wk-open/1": [1, "", ""] } },
+    "c/0/p/1",
+    undefined,
+  ],
+  [
+    "a chunk in two pages",
+    "c/0/p/1",
+    { m: [], c: { "wk-open/0": [3, "1", ""] } },
+    "c/0/p/0",
+    ONLY_CANCELLED_JOB,
+  ],
+  ["slices over the limit", "w/q/red", { 0: [4, 0], 1: [3.6, 0] }, "w/q/red", { 0: [4, 0] }],
   ["null for NaN", "w/q/red", { 0: [null, 0], 1: [2, 0] }, "w/q/red", { 0: [4, 0] }],
   ["an unknown slice", "w/q/red", { 0: null, 1: [2, 0] }, "w/q/red", { 0: [4, 0] }],
-  ["no slices", "w/q/red", "all", "w/q/red", { 0: [4, 0] }],
-  ["no mark", "c/0/fence", "x", "c/0/fence", undefined],
+  ["an invalid slice record", "w/q/red", "all", "w/q/red", { 0: [4, 0] }],
+  ["an invalid fence record", "c/0/fence", "x", "c/0/fence", undefined],
 ];
-for (const [what, hurt, bad, key, value] of MENDED) {
-  test(`mend: ${what} in ${hurt}: ${key} is mended, and the image can be restored`, async () => {
-    const broken = imageOf();
+for (const [what, damagedKey, damagedValue, key, value] of REPAIRS) {
+  test(`mend: ${what} in ${damagedKey}: ${key} is repaired, and the image can be restored`, async () => {
+    const damaged = recentImage();
     const spec = { team: "red", cpus: 2, gpus: 0 };
     for (const id of ["w/j/wk-open", "w/j/wk-gone"]) {
-      const row = broken.rows.get(id)!;
-      broken.rows.set(id, { ...row, value: { ...(row.value as object), spec } });
+      const row = damaged.rows.get(id)!;
+      damaged.rows.set(id, { ...row, value: { ...(row.value as object), spec } });
     }
-    const whole = new Map(broken.rows);
-    broken.rows.set(hurt, { value: bad, version: 50 });
-    const { image, repairs: done, remaining: left } = mendImage(broken, { limits });
-    assert.deepEqual(left, []);
-    assert.ok(done.length > 0);
+    const original = new Map(damaged.rows);
+    damaged.rows.set(damagedKey, { value: damagedValue, version: 50 });
+    const { image, repairs, remaining } = repairImage(damaged, { limits });
+    assert.deepEqual(remaining, []);
+    assert.ok(repairs.length > 0);
     assert.deepEqual(image.rows.get(key)?.value, value);
-    for (const [other, { value: was }] of whole) {
-      if (other !== key && other !== hurt) assert.deepEqual(image.rows.get(other)?.value, was);
+    for (const [other, { value: was }] of original) {
+      if (other !== key && other !== damagedKey)
+        assert.deepEqual(image.rows.get(other)?.value, was);
     }
     const target = service(1);
-    await target.clock.within(filling(target, image));
+    await target.clock.within(restoreTo(target, image));
   });
 }
 
-test("mend: what it cannot know it leaves, and says so", () => {
-  const image = sound();
+test("mend: records that cannot be reconstructed are kept and reported", () => {
+  const image = validImage();
   image.rows.set("w/j/wk-open", { value: 7, version: 50 });
   image.rows.delete(leafKey("wk-b"));
-  const { remaining: left, image: mended } = mendImage(image);
+  const { remaining, image: repaired } = repairImage(image);
   assert.deepEqual(
-    left.map(({ key }) => key),
+    remaining.map(({ key }) => key),
     ["w/j/wk-open", leafKey(LAST)],
   );
-  assert.equal(mended.rows.get("w/j/wk-open")!.value, 7);
+  assert.equal(repaired.rows.get("w/j/wk-open")!.value, 7);
 });
 
-test("show: numbers of what an image holds", () => {
-  const { jobs, leaves, parts, gone, schema } = overview(sound());
+test("show: counts of what an image contains", () => {
+  const { jobs, leaves, parts, gone, schema } = overview(validImage());
   assert.deepEqual(jobs, { open: 1, done: 1, cancelled: 1, archived: 3 });
   assert.deepEqual([leaves, gone, schema], [2, 1, 2]);
   assert.deepEqual(parts, { 0: { chunks: 2, placed: 2 }, 1: { chunks: 2, placed: 0 } });
@@ -207,7 +226,7 @@
 
 // ---- files -----------------------------------------------------------------------------------
 
-async function inFolder<T>(run: (folder: string) => Promise<T>): Promise<T> {
+async function inTemporaryFolder<T>(run: (folder: string) => Promise<T>): Promise<T> {
   const folder = mkdtempSync(join(tmpdir(), "birchdale-"));
   try {
     return await run(folder);
@@ -216,10 +235,10 @@
   }
 }
 
-test("files: an image is read as it was written", () =>
-  inFolder(async (folder) => {
+test("files: a written image is read back unchanged", () =>
+  inTemporaryFolder(async (folder) => {
     const file = join(folder, "image.tgz");
-    const image = sound();
+    const image = validImage();
     image.rows.set("w/x/text", { value: 'Καλημέρα\n"\\', version: 7 });
     await writeImage(file, image);
     assert.deepEqual(await readImage(file), {
@@ -231,27 +250,39 @@
     await assert.rejects(writeImage(join(folder, "no", "image"), image), { code: "ENOENT" });
   }));
 
-const tampered: [string, (bytes: Buffer) => Buffer, RegExp][] = [
+const TAMPERED_FILES: [string, (bytes: Buffer) => Buffer, RegExp][] = [
   [
     "cut short",
     (bytes) => bytes.subarray(0, bytes.length - 40),
     /truncated, or not a gzipped tar file/,
   ],
   ["not gzip", () => Buffer.from("hello"), /truncated, or not a gzipped tar file/],
-  ["one value changed", (bytes) => swap(bytes, "host-2", "host-3"), /c\.jsonl: the checksum/],
-  ["a manifest that is none", (bytes) => swap(bytes, '"revision"', '"revisiom"'), /manifest/],
-  ["a format of the future", (bytes) => swap(bytes, '"format": 1', '"format": 9'), /format 9/],
+  [
+    "one value changed",
+    (bytes) => replaceInArchive(bytes, "host-2", "host-3"),
+    /c\.jsonl: the checksum/,
+  ],
+  [
+    "an invalid manifest",
+    (bytes) => replaceInArchive(bytes, '"revision"', '"revisiom"'),
+    /manifest/,
+  ],
+  [
+    "an unknown format",
+    (bytes) => replaceInArchive(bytes, '"format": 1', '"format": 9'),
+    /format 9/,
+  ],
 ];
-const swap = (bytes: Buffer, from: string, to: string): Buffer => {
+const replaceInArchive = (bytes: Buffer, from: string, to: string): Buffer => {
   const text = gunzipSync(bytes).toString("latin1");
   assert.ok(text.includes(from));
   return gzipSync(Buffer.from(text.replaceAll(from, to), "latin1"));
 };
-for (const [what, change, reason] of tampered) {
-  test(`files: ${what} is refused, naming the file`, () =>
-    inFolder(async (folder) => {
+for (const [what, change, reason] of TAMPERED_FILES) {
+  test(`files: ${what} is refused with an error that names the file`, () =>
+    inTemporaryFolder(async (folder) => {
       const file = join(folder, "image.tgz");
-      await writeImage(file, sound());
+      await writeImage(file, validImage());
       writeFileSync(file, change(readFileSync(file)));
       await assert.rejects(readImage(file), (error: Error) => {
         assert.ok(error instanceof ImageError);
@@ -262,10 +293,10 @@
     }));
 }
 
-test("export: every job that is over, once, in Parquet", () =>
-  inFolder(async (folder) => {
+test("export: every finished job once, in Parquet", () =>
+  inTemporaryFolder(async (folder) => {
     const file = join(folder, "jobs.parquet");
-    assert.equal(await exportFinished(sound(), file), 5);
+    assert.equal(await exportFinished(validImage(), file), 5);
     const rows = await parquetReadObjects({ file: await asyncBufferFromFile(file) });
     assert.deepEqual(
       rows.map(({ id, status, tasks, done, team }) => [id, status, tasks, done, team]),
@@ -281,22 +312,24 @@
     assert.equal(rows[3]!.over, null);
   }));
 
-// ---- taking an image while things change -----------------------------------------------------
+// ---- taking an image during changes ----------------------------------------------------------
 
 for (const seed of [1, 2, 3, 4]) {
-  test(`images: are what was there at one revision, whatever changes meanwhile (seed ${seed})`, async () => {
+  test(`images: have the content of one revision despite concurrent changes (seed ${seed})`, async () => {
     const { clock, state, store } = service(seed);
-    const dice = new Random(seed + 100);
+    const random = new Random(seed + 100);
     const history = new Map<number, string>();
     const snapshot = (): void => {
       const all = [...state.rows].map(([key, { value, version }]) => [key, value, version]).sort();
       history.set(state.revision, JSON.stringify(all));
     };
     const change = (): void => {
-      // Always over all three prefixes at once, so that a mixture of two revisions would show.
-      const at = `${dice.int(0, 1500)}`;
+      // Each transaction changes all three prefixes, so that a mix of two revisions is detected.
+      const at = `${random.int(0, 1500)}`;
       const then = ["w/", "c/", "a/"].map((prefix) =>
-        dice.chance(0.3) ? { remove: prefix + at } : { put: prefix + at, value: dice.int(0, 9) },
+        random.chance(0.3)
+          ? { remove: prefix + at }
+          : { put: prefix + at, value: random.int(0, 9) },
       );
       state.transact([], then);
     };
@@ -307,7 +340,7 @@
       if (stopped) return;
       change();
       snapshot();
-      clock.after(dice.int(1, 6), churn);
+      clock.after(random.int(1, 6), churn);
     };
     churn();
     const image = await clock.within(collect(store, clock));
@@ -318,48 +351,48 @@
   });
 }
 
-test("images: given up with one clear line when changes come too fast", async () => {
+test("images: collection fails when changes come faster than keys can be read", async () => {
   const { clock, state, store } = service(1);
   for (let i = 0; i < 2500; i++) state.transact([], [{ put: `w/${i}`, value: i }]);
   const page = store.page.bind(store);
-  store.page = async (...asked) => {
-    const found = await page(...asked);
+  store.page = async (...args) => {
+    const found = await page(...args);
     for (let i = 0; i < 11_000; i++) state.transact([], [{ put: `w/${i % 2500}`, value: i }]);
     return found;
   };
-  const asked = collect(store, clock);
-  asked.catch(() => undefined);
-  await assert.rejects(clock.within(asked), TooFast);
+  const pending = collect(store, clock);
+  pending.catch(() => undefined);
+  await assert.rejects(clock.within(pending), ChangesTooFast);
 });
 
 // ---- restoring -------------------------------------------------------------------------------
 
-const WALL = 1_700_000_000_000;
-const imageOf = (): Image => ({ ...sound(), takenAt: WALL - 60_000 });
+const WALL_MS = 1_700_000_000_000;
+const recentImage = (): Image => ({ ...validImage(), takenAt: WALL_MS - 60_000 });
 
-const filling = (target: ReturnType<typeof service>, image: Image) =>
+const restoreTo = (target: ReturnType<typeof service>, image: Image) =>
   restoreImage(image, { store: target.store, clock: target.clock, writeRps: 80 });
 
-/** All but what stands for controllers that are up, and hints. */
-const kept = (image: Image): [string, unknown][] =>
+/** The rows that are restored: all but those of running controllers, and summaries. */
+const restoredRows = (image: Image): [string, unknown][] =>
   [...image.rows]
     .filter(([key]) => !/^w\/(n|p|s|a|d)\/|^w\/2\/lead$/.test(key))
     .map(([key, { value }]): [string, unknown] => [key, JSON.parse(JSON.stringify(value))])
     .sort();
 
-const held = (state: StateService): [string, unknown][] =>
+const rowsOf = (state: StateService): [string, unknown][] =>
   [...state.rows]
     .filter(([key]) => key !== "w/restored")
     .map(([key, { value }]): [string, unknown] => [key, JSON.parse(JSON.stringify(value))])
     .sort();
 
-test("restore: fills an empty service, and raises tokens above all that there were", async () => {
+test("restore: fills an empty service, and raises fencing tokens above all earlier ones", async () => {
   const target = service(1);
-  const image = imageOf();
-  const { rows, tokens } = await target.clock.within(filling(target, image));
-  assert.equal(rows, kept(image).length);
-  assert.deepEqual(held(target.state), kept(image));
-  // A minute has passed, at 80 changes a second.
+  const image = recentImage();
+  const { rows, tokens } = await target.clock.within(restoreTo(target, image));
+  assert.equal(rows, restoredRows(image).length);
+  assert.deepEqual(rowsOf(target.state), restoredRows(image));
+  // The image is one minute old, at 80 changes per second.
   assert.ok(tokens > image.revision + 60 * 80);
   const { state } = target.state.rows.get("w/restored")!.value as { state: string };
   assert.equal(state, "settling");
@@ -369,14 +402,14 @@
   );
 });
 
-test("restore: of an image of a restored service, tokens are above those of both before", () => {
-  const image = imageOf();
+test("restore: from an image of a restored service, fencing tokens exceed those of both former services", () => {
+  const image = recentImage();
   const record = { state: "settled", image: { revision: 5, takenAt: 5 }, tokens: 1_000_000 };
   image.rows.set("w/restored", { value: record, version: 40 });
-  assert.ok(tokensAbove(image, WALL, 80) > 1_000_000 + image.revision);
+  assert.ok(tokensAbove(image, WALL_MS, 80) > 1_000_000 + image.revision);
 });
 
-const REFUSED: [string, (target: ReturnType<typeof service>, image: Image) => void, RegExp][] = [
+const REFUSALS: [string, (target: ReturnType<typeof service>, image: Image) => void, RegExp][] = [
   [
     "a service that is not empty",
     ({ state }) => void state.transact([], [{ put: "w/n/x", value: 1 }]),
@@ -385,7 +418,7 @@
   ["an image with findings", (_target, image) => void image.rows.delete(leafKey(LAST)), /findings/],
   [
     "an image from the future",
-    (_target, image) => void Object.assign(image, { takenAt: WALL + 100_000 }),
+    (_target, image) => void Object.assign(image, { takenAt: WALL_MS + 100_000 }),
     /future/,
   ],
   [
@@ -403,39 +436,39 @@
     /another image/,
   ],
 ];
-for (const [what, prepare, reason] of REFUSED) {
+for (const [what, prepare, reason] of REFUSALS) {
   test(`restore: refuses ${what}`, async () => {
     const target = service(1);
-    const image = imageOf();
+    const image = recentImage();
     prepare(target, image);
-    const before = held(target.state);
-    const asked = filling(target, image);
-    asked.catch(() => undefined);
-    await assert.rejects(target.clock.within(asked), (error: Error) => {
+    const before = rowsOf(target.state);
+    const pending = restoreTo(target, image);
+    pending.catch(() => undefined);
+    await assert.rejects(target.clock.within(pending), (error: Error) => {
       assert.ok(error instanceof RestoreRefused);
       assert.match(error.message, reason);
       return true;
     });
-    assert.deepEqual(held(target.state), before);
+    assert.deepEqual(rowsOf(target.state), before);
   });
 }
 
-test("restore: ended at any request, and begun anew, it fills the same; twice is refused", async () => {
+test("restore: interrupted after any request and repeated, it gives the same rows; after success it is refused", async () => {
   let ends = 0;
   for (let at = 1; ; at++) {
     const target = service(at);
     let left = at;
     const { transact, page, get } = target.store;
     const cut =
-      <A extends unknown[], T>(run: (...asked: A) => Promise<T>) =>
-      async (...asked: A): Promise<T> => {
-        // It ends behind this request: that may have been carried out.
-        const answer = await run.apply(target.store, asked);
+      <A extends unknown[], T>(run: (...args: A) => Promise<T>) =>
+      async (...args: A): Promise<T> => {
+        // The process ends after this request, which may have been applied.
+        const answer = await run.apply(target.store, args);
         if (--left === 0) throw new Error("ended");
         return answer;
       };
     Object.assign(target.store, { transact: cut(transact), page: cut(page), get: cut(get) });
-    const first = filling(target, imageOf());
+    const first = restoreTo(target, recentImage());
     first.catch(() => undefined);
     const whole = await target.clock.within(first).then(
       () => true,
@@ -447,35 +480,35 @@
     const marker = target.state.rows.get("w/restored")?.value as { state: string } | undefined;
     Object.assign(target.store, { transact, page, get });
     if (whole || marker?.state === "settling") {
-      const again = filling(target, imageOf());
+      const again = restoreTo(target, recentImage());
       again.catch(() => undefined);
       await assert.rejects(target.clock.within(again), /already/);
     } else {
       ends++;
-      await target.clock.within(filling(target, imageOf()));
+      await target.clock.within(restoreTo(target, recentImage()));
     }
-    assert.deepEqual(held(target.state), kept(imageOf()));
+    assert.deepEqual(rowsOf(target.state), restoredRows(recentImage()));
     if (whole) break;
   }
-  assert.ok(ends > 5, `ended at ${ends} requests`);
+  assert.ok(ends > 5, `interrupted after ${ends} requests`);
 });
 
-test("restore: transactions that are not answered, and applied late, do no harm", async () => {
+test("restore: transactions without an answer that are applied late do no harm", async () => {
   for (let seed = 1; seed <= 12; seed++) {
     const target = service(seed);
     target.store.loss = 0.4;
-    await target.clock.within(filling(target, imageOf()));
+    await target.clock.within(restoreTo(target, recentImage()));
     target.store.loss = 0;
     await target.clock.run(60_000);
-    assert.deepEqual(held(target.state), kept(imageOf()));
+    assert.deepEqual(rowsOf(target.state), restoredRows(recentImage()));
   }
 });
 
-test("restore: what is set while serving comes back, by which revision controllers decided does not", () => {
-  const kept = restorable(sound()).map(([key]) => key);
+test("restore: the stored configuration is restored, the revisions that controllers applied are not", () => {
+  const restoredKeys = restorable(validImage()).map(([key]) => key);
   assert.deepEqual(
-    kept.filter((key) => key.startsWith("w/c/")),
+    restoredKeys.filter((key) => key.startsWith("w/c/")),
     ["w/c/head", "w/c/p/a/0"],
   );
-  assert.ok(!kept.includes("w/d/n0"));
+  assert.ok(!restoredKeys.includes("w/d/n0"));
 });
--- a/test/support/year.ts
+++ b/test/support/year.ts
@@ -9,12 +9,12 @@
 import { FakeClock } from "./clock.js";
 import { quiet } from "./common.js";
 
-/** A state service that answers at once, and a leader that archives whatever it is given. */
+/** A state service that answers at once, and a leader that archives all jobs passed to it. */
 export class Year {
   readonly clock = new FakeClock();
   readonly state: StateService;
   readonly lookups: Lookups;
-  #waiting: Row[] = [];
+  #finishedHeaders: Row[] = [];
   readonly #mover: Mover;
 
   constructor(limits: StoreLimits) {
@@ -38,23 +38,23 @@
     const leading: LeaderTerm = { token: 1, claim: { key: "x", version: 1 }, valid: () => true };
     const drop = (rows: readonly Row[]): void => {
       const names = new Set(rows.map(({ key }) => key));
-      this.#waiting = this.#waiting.filter(({ key }) => !names.has(key));
+      this.#finishedHeaders = this.#finishedHeaders.filter(({ key }) => !names.has(key));
     };
-    const candidates = { take: async () => this.#waiting, gone: drop, setAside: drop };
+    const candidates = { take: async () => this.#finishedHeaders, gone: drop, setAside: drop };
     this.#mover = new Mover(core, this.lookups, candidates, leading);
   }
 
-  /** Some jobs have ended: they have headers, and all of them are archived. */
+  /** Writes the headers of finished jobs and archives all of them. */
   async archive(jobs: readonly (readonly [id: string, header: JobHeader])[]): Promise<void> {
     for (const [id, value] of jobs) {
       this.state.transact([], [{ put: keys.job(id), value }]);
-      this.#waiting.push({ key: keys.job(id), value, version: this.state.revision });
+      this.#finishedHeaders.push({ key: keys.job(id), value, version: this.state.revision });
     }
-    this.#waiting.sort((a, b) => (a.key < b.key ? -1 : 1));
-    while (this.#waiting.length > 0) await this.#mover.step();
+    this.#finishedHeaders.sort((a, b) => (a.key < b.key ? -1 : 1));
+    while (this.#finishedHeaders.length > 0) await this.#mover.step();
   }
 
-  /** Jobs in the archive, after a look at every leaf. */
+  /** Counts archived jobs and leaves; verifies that there are no gaps between leaves. */
   count(): { jobs: number; leaves: number } {
     let jobs = 0;
     let leaves = 0;
@@ -62,7 +62,8 @@
     const all = [...this.state.rows.keys()].filter((key) => key.startsWith(keys.archive)).sort();
     for (const key of all) {
       const leaf = decodeLeaf({ key, ...this.state.rows.get(key)! });
-      if (leaf.from !== from) throw new Error(`a gap before ${key}`);
+      if (leaf.from !== from)
+        throw new Error(`gap before ${key}: the leaf begins after ${leaf.from}, expected ${from}`);
       from = leaf.last;
       jobs += leaf.entries.length;
       leaves++;
