--- a/src/archive/begin-archive.ts
+++ b/src/archive/begin-archive.ts
@@ -12,7 +12,10 @@
   });
 }
 
-/** Changes of the transaction that creates the archive. If fewer are allowed, the leaf is written before. */
+/**
+ * Changes of the transaction that creates the archive. If the service allows fewer, the first leaf is
+ * written in advance.
+ */
 const BEGIN_TRANSACTION_OPS = 5;
 
 /**
--- a/src/archive/leaf.ts
+++ b/src/archive/leaf.ts
@@ -196,15 +196,15 @@
   let to = entries.length;
   while (from < to) {
     const middle = (from + to) >> 1;
-    const at = entries[middle]![0];
-    if (at === id) return middle;
-    if (at < id) from = middle + 1;
+    const middleId = entries[middle]![0];
+    if (middleId === id) return middle;
+    if (middleId < id) from = middle + 1;
     else to = middle;
   }
   return -from - 1;
 }
 
 export function findOutcome(entries: readonly Entry[], id: string): JobOutcome | null {
-  const place = searchEntries(entries, id);
-  return place < 0 ? null : entries[place]![1];
+  const index = searchEntries(entries, id);
+  return index < 0 ? null : entries[index]![1];
 }
--- a/src/image/check.ts
+++ b/src/image/check.ts
@@ -168,7 +168,7 @@
   if (schema !== undefined && !knownSchemas.includes(schema?.version)) {
     addFinding(
       keys.schema,
-      `schema version ${String(schema?.version)} is not supported; this program supports versions up to ${KNOWN_SCHEMA}`,
+      `schema version ${String(schema?.version)} is not supported; expected ${ARCHIVE_SCHEMA} or ${KNOWN_SCHEMA}`,
     );
   }
   if (schema === undefined) {
@@ -238,7 +238,10 @@
   }
 }
 
-/** A fencing token is the version of a claim: no fence record may have a token newer than the part's claim. */
+/**
+ * A fencing token is the version of a claim, so the token in a part's fence record must not be newer
+ * than the part's claim.
+ */
 function checkTokens(image: Image, sortedKeys: readonly string[], addFinding: AddFinding): void {
   for (const key of sortedKeys) {
     const fence = /^c\/(\d+)\/fence$/.exec(key);
--- a/src/image/collect.ts
+++ b/src/image/collect.ts
@@ -18,7 +18,10 @@
 export class ChangesTooFast extends Error {}
 
 const PAGE_ROWS = 1000;
-/** Pages read between two reads of the changes: far fewer changes occur than the 10,000 the service keeps. */
+/**
+ * Pages read between two reads of the changes. The service keeps 10,000 changes; far fewer occur in
+ * that time.
+ */
 const PAGES_PER_FOLLOW = 5;
 /** Attempts to read one prefix before the collection fails. */
 const MAX_ATTEMPTS = 5;
--- a/src/image/commands.ts
+++ b/src/image/commands.ts
@@ -12,7 +12,7 @@
 import { repairImage } from "./repair.js";
 import { RestoreRefused, restoreImage } from "./restore.js";
 
-/** Runs a function with a client of the state service that uses a share of the allowed request rate. */
+/** Runs a function with a state service client that may use a share of the allowed request rate. */
 async function withStore<T>(
   settings: Settings,
   rateShare: number,
--- a/src/image/repair.ts
+++ b/src/image/repair.ts
@@ -10,7 +10,7 @@
   image: Image;
   /** What was repaired, by key. */
   repairs: Finding[];
-  /** Findings that cannot be repaired without guessing; the image can be restored if there are none. */
+  /** Findings not repairable without guessing; the image can be restored only if there are none. */
   remaining: Finding[];
 }
 
--- a/test/archive-model.test.ts
+++ b/test/archive-model.test.ts
@@ -87,10 +87,10 @@
       this.put(keys.schema, { version: 2 });
       for (const [id] of entries) this.finalStatus.set(id, "done");
     }
-    const real = this.state.transact.bind(this.state);
+    const transact = this.state.transact.bind(this.state);
     if (omit !== undefined) {
       this.state.transact = (when, then) =>
-        real(
+        transact(
           when.filter((one) => !omit(one, then)),
           then,
         );
@@ -111,8 +111,16 @@
   controller(who: string): { core: Core; users: JobApi; lookups: Lookups; history: History } {
     const store = new ChosenStore(this.wire, who, SMALL_LIMITS, this.clock);
     const mirror = new Mirror(store, this.clock, quiet, 1000);
-    const room = { cpus: 4, gpus: 0, memGb: 8, bootS: 1, zones: ["a"], price: 1, spotPrice: 1 };
-    const types = new Map([["m", { name: "m", ...room }]]);
+    const machineType = {
+      cpus: 4,
+      gpus: 0,
+      memGb: 8,
+      bootS: 1,
+      zones: ["a"],
+      price: 1,
+      spotPrice: 1,
+    };
+    const types = new Map([["m", { name: "m", ...machineType }]]);
     const core: Core = {
       settings: settingsFor(0, 1, TEAMS),
       log: quiet,
@@ -153,18 +161,18 @@
         if (gone) mirror.apply({ key, value: undefined, version: revision, deleted: true });
       }
     };
-    const most = new Map([["red", { cpus: 8, gpus: 0 }]]);
+    const teamLimits = new Map([["red", { cpus: 8, gpus: 0 }]]);
     const metrics = new Metrics(this.clock, 1e9);
-    const refusals = new Refusals(new Set(most.keys()), this.clock, quiet, metrics, 1000);
-    const places = new PlacementConstraints(null);
-    const lookUp = (id: string) => history.find(id);
-    const pipelines = new Pipelines(mirror, store, this.clock, quiet, 1000, lookUp);
+    const refusals = new Refusals(new Set(teamLimits.keys()), this.clock, quiet, metrics, 1000);
+    const constraints = new PlacementConstraints(null);
+    const findArchived = (id: string) => history.find(id);
+    const pipelines = new Pipelines(mirror, store, this.clock, quiet, 1000, findArchived);
     const users = new JobApi(
       core,
-      (team) => most.get(team),
+      (team) => teamLimits.get(team),
       new Map(),
       [],
-      places,
+      constraints,
       history,
       refusals,
       () => true,
--- a/test/archive.test.ts
+++ b/test/archive.test.ts
@@ -150,18 +150,24 @@
       ENTRIES,
       fc.integer({ min: 3, max: 30 }),
       fc.constantFrom(300, 700, 2000),
-      (kept, fresh, changes, most) => {
-        const known = new Set(kept.map(([id]) => id));
-        const leaf: Leaf = { key: leafKey(LAST), version: 9, from: "", last: LAST, entries: kept };
-        const rows = fresh.map(([id, past]) => row(keys.job(id), headerOf(past), 3));
-        const limits = { changes, leafBytes: most, txnBytes: 48 * 1024 };
+      (existing, added, changes, maxBytes) => {
+        const known = new Set(existing.map(([id]) => id));
+        const leaf: Leaf = {
+          key: leafKey(LAST),
+          version: 9,
+          from: "",
+          last: LAST,
+          entries: existing,
+        };
+        const rows = added.map(([id, past]) => row(keys.job(id), headerOf(past), 3));
+        const limits = { changes, leafBytes: maxBytes, txnBytes: 48 * 1024 };
         const move = planMove(leaf, rows, limits);
         // A leaf within the size limit always accepts a job: it is split into at most two.
-        const full = jsonBytes(encodeLeaf("", kept)) > most;
-        if (move === null) return assert.ok(fresh.length === 0 || full);
+        const full = jsonBytes(encodeLeaf("", existing)) > maxBytes;
+        if (move === null) return assert.ok(added.length === 0 || full);
         assert.deepEqual(
           move.alreadyArchived.map(({ key }) => key.slice(4)),
-          fresh.map(([id]) => id).filter((id) => known.has(id)),
+          added.map(([id]) => id).filter((id) => known.has(id)),
         );
         if (move.moved.length === 0) return;
         assert.ok(move.changes.length <= changes);
@@ -171,13 +177,13 @@
           assert.equal(begins, from);
           assert.equal(key, leafKey(last));
           for (const [id] of entries) assert.ok(covers({ from, last }, id));
-          if (entries.length > 1) assert.ok(jsonBytes(encodeLeaf(from, entries)) <= most);
+          if (entries.length > 1) assert.ok(jsonBytes(encodeLeaf(from, entries)) <= maxBytes);
           all.push(...entries);
           from = last;
         }
         assert.equal(from, LAST);
         const moved = new Set(move.moved.map(({ key }) => key.slice(4)));
-        assert.equal(all.length, kept.length + moved.size);
+        assert.equal(all.length, existing.length + moved.size);
         for (const id of moved) assert.ok(all.some(([name]) => name === id));
         // Every changed key is also a condition.
         for (const change of move.changes) {
@@ -444,10 +450,10 @@
   const { clock, state, store, mirror } = mirrorOf(3500);
   const page = store.page.bind(store);
   const requestedAfter: (string | null)[] = [];
-  store.page = (prefix, after, most) => {
+  store.page = (prefix, after, limit) => {
     requestedAfter.push(after);
     if (requestedAfter.length === 3) throw new Refused("503");
-    return page(prefix, after, most);
+    return page(prefix, after, limit);
   };
   void mirror.run();
   await clock.run(5000);
