--- a/src/image/commands.ts
+++ b/src/image/commands.ts
@@ -6,16 +6,16 @@
 import { StoreClient, storeLimits } from "../state/store.js";
 import { checkImage, type Finding } from "./check.js";
 import { collect } from "./collect.js";
-import { exportFinished } from "./export.js";
-import { readImage, writeImage } from "./file.js";
-import { mendImage } from "./mend.js";
+import { readImage, writeImage } from "./image-file.js";
+import { overview } from "./overview.js";
+import { exportFinished } from "./parquet-export.js";
+import { repairImage } from "./repair.js";
 import { RestoreRefused, restoreImage } from "./restore.js";
-import { overview } from "./show.js";
 
-/** Runs with a client of the state service that may use a part of what the service allows. */
+/** Runs a function with a state service client that may use a share of the allowed request rate. */
 async function withStore<T>(
   settings: Settings,
-  part: number,
+  rateShare: number,
   run: (store: StoreClient) => Promise<T>,
 ): Promise<T> {
   const { services, params } = settings;
@@ -23,7 +23,7 @@
   const limits = storeLimits(params.state);
   const store = new StoreClient(
     http,
-    { ...limits, rps: limits.rps * part, writeRps: limits.writeRps * part },
+    { ...limits, rps: limits.rps * rateShare, writeRps: limits.writeRps * rateShare },
     systemClock,
     10_000,
   );
@@ -35,7 +35,7 @@
 }
 
 /**
- * Fills the state service that settings name from a file.
+ * Fills the state service named in the settings from an image file.
  * @throws ImageError, RestoreRefused
  */
 export async function restoreFile(
@@ -55,98 +55,107 @@
   );
 }
 
-const out = (text: string): void => {
+const printLine = (text: string): void => {
   process.stdout.write(`${text}\n`);
 };
 
-function report(file: string, findings: readonly Finding[]): void {
+function printFindings(file: string, findings: readonly Finding[]): void {
   for (const { key, problem } of findings) process.stderr.write(`${file}: ${key}: ${problem}\n`);
 }
 
-/** `birchdale state ...`: images of all that the state service keeps. */
+/** `birchdale state ...`: images of all data in the state service. */
 export function imageCommands(parent: Command): Command {
   const state = new Command("state")
     .copyInheritedSettings(parent)
-    .description("save, check, show, export and restore all that the state service keeps");
-  // The program's own option, which may stand anywhere on the line.
-  const configured = (): string | undefined => parent.opts<{ config?: string }>().config;
-  const settings = (): Settings => {
-    const file = configured();
+    .description("save, show, check, mend, export and restore images of the state service's data");
+  // The program's global option, which may be anywhere on the command line.
+  const configFile = (): string | undefined => parent.opts<{ config?: string }>().config;
+  const requiredSettings = (): Settings => {
+    const file = configFile();
     if (file === undefined) {
       return parent.error("error: give --config <file>, the platform's settings", { exitCode: 2 });
     }
     return loadSettings(file);
   };
-  state.addHelpText("after", "\nsave and restore need --config <file>, check may have it");
+  state.addHelpText(
+    "after",
+    "\nsave and restore require --config <file>; check and mend use it to check the teams' limits",
+  );
   state
     .command("save")
-    .description("write a consistent image while the service runs")
+    .description("write a consistent image of the running state service")
     .argument("<file>", "the image: a gzipped tar file")
     .action(async (file: string) => {
-      // A quarter of the requests that the service allows: it has other work.
-      const image = await withStore(settings(), 0.25, (store) => collect(store, systemClock));
+      // A quarter of the allowed request rate, so that the controllers keep the rest.
+      const image = await withStore(requiredSettings(), 0.25, (store) =>
+        collect(store, systemClock),
+      );
       await writeImage(file, image);
-      out(`${file}: ${image.rows.size} keys at revision ${image.revision}`);
+      printLine(`${file}: ${image.rows.size} keys at revision ${image.revision}`);
     });
   state
     .command("show")
-    .description("show what an image holds")
+    .description("print counts of what an image contains")
     .argument("<file>")
     .option("--json", "print JSON")
     .action(async (file: string, { json }: { json?: boolean }) => {
-      out(JSON.stringify(overview(await readImage(file)), null, json ? 0 : 2));
+      printLine(JSON.stringify(overview(await readImage(file)), null, json ? 0 : 2));
     });
   state
     .command("check")
-    .description("verify everything that must hold between the records of an image")
+    .description("check the invariants between the records of an image")
     .argument("<file>")
     .action(async (file: string) => {
       const image = await readImage(file);
-      const limits = configured() === undefined ? undefined : limitsOf(settings().params.teams);
+      const limits =
+        configFile() === undefined ? undefined : limitsOf(requiredSettings().params.teams);
       const findings = checkImage(image, { limits });
-      report(file, findings);
+      printFindings(file, findings);
       if (findings.length > 0) throw new CommanderError(1, "state.check", "findings");
-      out(`${file}: ${image.rows.size} keys, no findings`);
+      printLine(`${file}: ${image.rows.size} keys, no findings`);
     });
   state
     .command("mend")
-    .description("take out of an image what can be done without, so that it can be restored")
+    .description("remove or recompute invalid records of an image, so that it can be restored")
     .argument("<file>", "an image with findings")
     .argument("<mended>", "the image to write")
     .action(async (file: string, mended: string) => {
-      const limits = configured() === undefined ? undefined : limitsOf(settings().params.teams);
-      const { image, done, left } = mendImage(await readImage(file), { limits });
-      report(file, done);
+      const limits =
+        configFile() === undefined ? undefined : limitsOf(requiredSettings().params.teams);
+      const { image, repairs, remaining } = repairImage(await readImage(file), { limits });
+      printFindings(file, repairs);
       await writeImage(mended, image);
-      out(`${mended}: ${done.length} mended, ${left.length} left`);
-      report(mended, left);
-      if (left.length > 0) throw new CommanderError(1, "state.mend", "findings");
+      printLine(`${mended}: ${repairs.length} repaired, ${remaining.length} findings left`);
+      printFindings(mended, remaining);
+      if (remaining.length > 0) throw new CommanderError(1, "state.mend", "findings");
     });
   state
     .command("export")
-    .description("write the jobs that are over as a Parquet file")
+    .description("write the finished jobs as a Parquet file")
     .argument("<file>", "an image")
     .argument("<parquet>", "the file to write")
     .action(async (file: string, parquet: string) => {
       const count = await exportFinished(await readImage(file), parquet);
-      out(`${parquet}: ${count} jobs`);
+      printLine(`${parquet}: ${count} jobs`);
     });
   state
     .command("restore")
-    .description("fill an empty state service from an image; stop all controllers first")
+    .description("fill an empty state service from an image (stop all controllers first)")
     .argument("<file>", "an image")
     .action(async (file: string) => {
-      let shown = 0;
+      let lastShown = 0;
       try {
-        const { rows, tokens } = await restoreFile(file, settings(), (done, all) => {
-          if (done < all && done - shown < 1000) return;
-          shown = done;
+        const { rows, tokens } = await restoreFile(file, requiredSettings(), (done, all) => {
+          if (done < all && done - lastShown < 1000) return;
+          lastShown = done;
           process.stderr.write(`${done} of ${all} keys\n`);
         });
-        out(`${rows} keys restored; tokens are raised by ${tokens}. Start the controllers now.`);
+        printLine(
+          `${rows} keys restored; fencing tokens are raised by ${tokens}. Start the controllers now.`,
+        );
       } catch (error) {
         if (!(error instanceof RestoreRefused)) throw error;
-        report(file, error.findings);
+        printFindings(file, error.findings);
         process.stderr.write(`birchdale: not restored: ${error.message}\n`);
         throw new CommanderError(1, "state.restore", error.message);
       }
--- a/src/image/index.ts
+++ b/src/image/index.ts
@@ -1,13 +1,13 @@
 /**
- * Images of all that the state service keeps: taken while the service runs, checked and read
- * without it, and put into an empty one. Used by the command line only; `docs/state.md` explains
- * how an image is consistent and what a restore can lose.
+ * Images of all data in the state service: taken while the service runs, read and checked offline,
+ * and restored into an empty service. Used by the command line only; `docs/state.md` explains why an
+ * image is consistent and what a restore can lose.
  */
 export { type CheckOptions, checkImage, type Finding } from "./check.js";
-export { collect, type Image, PREFIXES, TooFast } from "./collect.js";
+export { ChangesTooFast, collect, type Image, PREFIXES } from "./collect.js";
 export { imageCommands, restoreFile } from "./commands.js";
-export { exportFinished } from "./export.js";
-export { ImageError, readImage, writeImage } from "./file.js";
-export { type Mended, mendImage } from "./mend.js";
+export { ImageError, readImage, writeImage } from "./image-file.js";
+export { finishedJobs, type Overview, overview } from "./overview.js";
+export { exportFinished } from "./parquet-export.js";
+export { type RepairResult, repairImage } from "./repair.js";
 export { RestoreRefused, restorable, restoreImage, tokensAbove } from "./restore.js";
-export { finished, type Overview, overview } from "./show.js";
--- a/src/image/export.ts
+++ b/src/image/parquet-export.ts
@@ -1,31 +1,31 @@
 import type { JobOutcome } from "../jobs/job-outcome.js";
 import type { Image } from "./collect.js";
-import { finished } from "./show.js";
+import { finishedJobs } from "./overview.js";
 
-/** How many rows a group of the file has: what is in memory at a time, here and where it is read. */
-const GROUP = 50_000;
+/** Rows per row group: the number held in memory at a time, here and in the reader. */
+const ROW_GROUP_ROWS = 50_000;
 
-type Batch = (readonly [id: string, past: JobOutcome])[];
+type JobBatch = (readonly [id: string, outcome: JobOutcome])[];
 
-const moment = (ms: number | null): Date | null => (ms === null ? null : new Date(ms));
+const toDate = (ms: number | null): Date | null => (ms === null ? null : new Date(ms));
 
-const columnsOf = (jobs: Batch) => [
+const columnsOf = (jobs: JobBatch) => [
   { name: "id", data: jobs.map(([id]) => id) },
   { name: "status", data: jobs.map(([, { status }]) => status) },
   { name: "tasks", data: jobs.map(([, { tasks }]) => tasks) },
   { name: "done", data: jobs.map(([, { done }]) => done) },
   { name: "team", data: jobs.map(([, { team }]) => team) },
-  { name: "accepted", data: jobs.map(([, { at }]) => moment(at)) },
-  { name: "over", data: jobs.map(([, { over }]) => moment(over)) },
+  { name: "accepted", data: jobs.map(([, { at }]) => toDate(at)) },
+  { name: "over", data: jobs.map(([, { over }]) => toDate(over)) },
 ];
 
 /**
- * Writes the jobs that are over as a Parquet file: `id`, `status`, `tasks`, `done`, `team`,
- * `accepted` and `over` (timestamps; `team` and `over` may be null), in order of ids.
- * @returns how many
+ * Writes the finished jobs as a Parquet file: `id`, `status`, `tasks`, `done`, `team`,
+ * `accepted` and `over` (timestamps; `team` and `over` may be null), in order of id.
+ * @returns the number of jobs
  */
 export async function exportFinished(image: Image, file: string): Promise<number> {
-  // Nothing else needs the library.
+  // Imported here, because only this function needs the library.
   const { fileWriter, ParquetWriter } = await import("hyparquet-writer");
   const required = { repetition_type: "REQUIRED" } as const;
   const optional = { repetition_type: "OPTIONAL" } as const;
@@ -45,15 +45,15 @@
     ],
   });
   let count = 0;
-  let batch: Batch = [];
+  let batch: JobBatch = [];
   const write = async (): Promise<void> => {
-    await out.write({ columnData: columnsOf(batch), rowGroupSize: GROUP });
+    await out.write({ columnData: columnsOf(batch), rowGroupSize: ROW_GROUP_ROWS });
     count += batch.length;
     batch = [];
   };
-  for (const job of finished(image)) {
+  for (const job of finishedJobs(image)) {
     batch.push(job);
-    if (batch.length === GROUP) await write();
+    if (batch.length === ROW_GROUP_ROWS) await write();
   }
   if (batch.length > 0) await write();
   await out.finish();
--- a/src/image/restore.ts
+++ b/src/image/restore.ts
@@ -6,9 +6,9 @@
 import type { Change, Condition, Page, Store } from "../state/store.js";
 import { checkImage, type Finding } from "./check.js";
 import { type Image, PREFIXES } from "./collect.js";
-import { patiently } from "./patient.js";
+import { retryUnavailable } from "./retry.js";
 
-/** The image was not, or not wholly, put into the service; the reason is one line. */
+/** The image was not restored, or only in part; the message gives the reason in one line. */
 export class RestoreRefused extends Error {
   constructor(
     message: string,
@@ -19,10 +19,10 @@
 }
 
 /**
- * Keys that stand for controllers that are up: those are not the same ones any more. Summaries are
- * hints that would be wrong.
+ * Keys that are not restored. Most describe running controllers, which are other processes after a
+ * restore. Summaries are hints that would be outdated.
  */
-const PASSING = [
+const TRANSIENT_PREFIXES = [
   keys.node(""),
   keys.accusation(""),
   keys.decision(""),
@@ -35,11 +35,11 @@
 const isClaim = (value: unknown): boolean =>
   typeof value === "object" && value !== null && "node" in value && "run" in value;
 
-/** What of an image is put into a new service. */
+/** The rows of an image that are restored, in order of key. */
 export function restorable(image: Image): [key: string, value: unknown][] {
   return [...image.rows]
     .filter(([key, { value }]) => {
-      if (PASSING.some((prefix) => key.startsWith(prefix))) return false;
+      if (TRANSIENT_PREFIXES.some((prefix) => key.startsWith(prefix))) return false;
       return !((key === keys.leader || key === keys.leader2) && isClaim(value));
     })
     .map(([key, { value }]): [string, unknown] => [key, value])
@@ -47,33 +47,35 @@
 }
 
 /**
- * A number above every token that a worker can have seen when the image is restored. A token is a
- * stamp, and the former service made at most `writeRps` changes a second after the image was taken;
- * twice that and an hour more, for a time of day that is off and for leases that ended.
+ * A number above every fencing token that a worker can have seen when the image is restored. A token
+ * is a version, and after the image was taken the former service made at most `writeRps` changes a
+ * second. The result allows for twice that rate and one more hour, because clocks may be wrong and
+ * because leases expired.
  */
-export function tokensAbove(image: Image, wall: number, writeRps: number): number {
-  const before = parseRestoreRecord(image.rows.get(keys.restored)?.value)?.tokens ?? 0;
-  const elapsedS = (wall - image.takenAt) / 1000 + 3600;
-  return before + image.revision + Math.ceil(2 * writeRps * elapsedS);
+export function tokensAbove(image: Image, wallMs: number, writeRps: number): number {
+  const earlierTokens = parseRestoreRecord(image.rows.get(keys.restored)?.value)?.tokens ?? 0;
+  const elapsedS = (wallMs - image.takenAt) / 1000 + 3600;
+  return earlierTokens + image.revision + Math.ceil(2 * writeRps * elapsedS);
 }
 
 export interface RestoreOptions {
   store: Store;
   clock: Clock;
-  /** Changes a second that the former service allowed. */
+  /** Changes per second that the former service allowed. */
   writeRps: number;
-  /** The names of the controllers: none of them may be up when it begins. */
+  /** The names of the controllers: none of them may be running when the restore begins. */
   members?: readonly string[];
-  /** Hears how many of how many rows are there. */
+  /** Called with the number of rows written so far and in all. */
   progress?(done: number, all: number): void;
 }
 
 /**
- * Fills an empty state service from an image. What is there says "filling" first, on which no
- * controller acts, and "settling" in the end, when every row has been read back; so whatever a crash
- * leaves is either ignored by all, and filled by the same call again, or whole.
- * @returns the rows that were put there, and the number that tokens are raised by
- * @throws RestoreRefused when the image is broken, the service is not empty, or holds another image
+ * Fills an empty state service from an image. The restore record is in state "filling" first, in
+ * which no controller acts, and in state "settling" at the end, once every row has been read back. So
+ * after a crash the content is either complete, or ignored by all controllers and completed by
+ * calling this again.
+ * @returns the number of rows written, and the number by which fencing tokens are raised
+ * @throws RestoreRefused if the image has findings, or the service is not empty or has another image
  */
 export async function restoreImage(
   image: Image,
@@ -81,64 +83,74 @@
 ): Promise<{ rows: number; tokens: number }> {
   const findings = checkImage(image);
   if (findings.length > 0) {
-    throw new RestoreRefused(`the image has ${findings.length} findings`, findings);
+    throw new RestoreRefused(
+      `the image has ${findings.length} findings; run "state mend" first`,
+      findings,
+    );
   }
-  const wall = clock.wall();
-  if (wall < image.takenAt - 60_000) {
-    throw new RestoreRefused("the image is from the future: this machine's time of day is wrong");
+  const wallMs = clock.wall();
+  if (wallMs < image.takenAt - 60_000) {
+    throw new RestoreRefused("the image was taken in the future: this machine's clock is wrong");
   }
-  const again = <T>(run: () => Promise<T>): Promise<T> => patiently(clock, run);
+  const retry = <T>(run: () => Promise<T>): Promise<T> => retryUnavailable(clock, run);
   const { revision, takenAt } = image;
-  const fresh: RestoreRecord = {
+  const initialRecord: RestoreRecord = {
     state: "filling",
     image: { revision, takenAt },
-    tokens: tokensAbove(image, wall, writeRps),
+    tokens: tokensAbove(image, wallMs, writeRps),
   };
-  const begun = await again(() => store.get(keys.restored));
-  let record = parseRestoreRecord(begun?.value);
-  if (begun === null) {
+  const existing = await retry(() => store.get(keys.restored));
+  let record = parseRestoreRecord(existing?.value);
+  if (existing === null) {
     for (const prefix of PREFIXES) {
-      const { rows } = await again(() => store.page(prefix, null, 1));
+      const { rows } = await retry(() => store.page(prefix, null, 1));
       if (rows.length > 0) {
         throw new RestoreRefused(`the state service is not empty: it has ${rows[0]!.key}`);
       }
     }
     const absent = [keys.restored, ...members.map(keys.node)];
-    const condition = absent.map((key) => ({ key, version: 0 }));
-    await again(() => store.transact(condition, [{ put: keys.restored, value: fresh }]));
-    // Whoever was first: that is the one.
-    record = parseRestoreRecord((await again(() => store.get(keys.restored)))?.value);
+    const conditions = absent.map((key) => ({ key, version: 0 }));
+    await retry(() => store.transact(conditions, [{ put: keys.restored, value: initialRecord }]));
+    // If several restores start at once, the first record written counts.
+    record = parseRestoreRecord((await retry(() => store.get(keys.restored)))?.value);
   }
-  if (record === null) throw new RestoreRefused("a controller is up: stop all of them first");
-  if (!isDeepStrictEqual(record.image, fresh.image)) {
+  if (record === null)
+    throw new RestoreRefused("a controller is running: stop all controllers first");
+  if (!isDeepStrictEqual(record.image, initialRecord.image)) {
     throw new RestoreRefused("the state service is being filled from another image");
   }
   if (record.state !== "filling") {
     throw new RestoreRefused("the state service has been restored from this image already");
   }
   const rows = restorable(image);
-  const marker = await again(() => store.get(keys.restored));
-  const guard = { key: keys.restored, version: marker!.version };
+  const restoreRow = await retry(() => store.get(keys.restored));
+  const guard = { key: keys.restored, version: restoreRow!.version };
   for (let from = 0; from < rows.length; ) {
-    const size = batchAt(rows, from, store);
+    const size = nextBatchSize(rows, from, store);
     const batch = rows.slice(from, from + size);
     while (!store.writes.take(size)) await sleep(clock, 20);
-    await again(() => fill(store, guard, batch));
+    await retry(() => writeBatch(store, guard, batch));
     from += size;
     progress?.(from, rows.length);
   }
-  await verify(store, rows, again);
-  const done: RestoreRecord = { ...record, state: "settling" };
-  const result = await again(() => store.transact([guard], [{ put: keys.restored, value: done }]));
-  const now = parseRestoreRecord((await again(() => store.get(keys.restored)))?.value);
-  if (!result.ok && now?.state !== "settling") {
-    throw new RestoreRefused("somebody else has changed what was being restored");
+  await verify(store, rows, retry);
+  const finalRecord: RestoreRecord = { ...record, state: "settling" };
+  const result = await retry(() =>
+    store.transact([guard], [{ put: keys.restored, value: finalRecord }]),
+  );
+  const currentRecord = parseRestoreRecord((await retry(() => store.get(keys.restored)))?.value);
+  if (!result.ok && currentRecord?.state !== "settling") {
+    throw new RestoreRefused("another process changed the restore record (w/restored)");
   }
   return { rows: rows.length, tokens: record.tokens };
 }
 
-/** How many of the rows fit the next transaction. */
-function batchAt(rows: readonly [string, unknown][], from: number, { limits }: Store): number {
+/** The number of rows that fit the next transaction. */
+function nextBatchSize(
+  rows: readonly [string, unknown][],
+  from: number,
+  { limits }: Store,
+): number {
   let bytes = 512;
   let count = 0;
   while (from + count < rows.length && count < limits.ops) {
@@ -150,7 +162,7 @@
   return count;
 }
 
-async function fill(
+async function writeBatch(
   store: Store,
   guard: Condition,
   batch: readonly [string, unknown][],
@@ -160,44 +172,45 @@
   const result = await store.transact([guard, ...when], then);
   if (result.ok) return;
   if (result.failed.includes(keys.restored)) {
-    throw new RestoreRefused("somebody else has changed what was being restored");
+    throw new RestoreRefused("another process changed the restore record (w/restored)");
   }
-  // An earlier try that was not answered, or an earlier run: then what is there is what should be.
+  // Rows of an earlier attempt without an answer, or of an earlier run, have the same values.
   for (const [key, value] of batch) {
-    const there = await store.get(key);
-    if (there === null) {
+    const stored = await store.get(key);
+    if (stored === null) {
       await store.transact([guard, { key, version: 0 }], [{ put: key, value }]);
-    } else if (!isDeepStrictEqual(there.value, value)) {
-      throw new RestoreRefused(`${key} is there already, with another value`);
+    } else if (!isDeepStrictEqual(stored.value, value)) {
+      throw new RestoreRefused(`${key} already exists with another value`);
     }
   }
 }
 
-/** Reads everything back. */
+/** Reads all rows back and compares them with the image. */
 async function verify(
   store: Store,
   rows: readonly [string, unknown][],
-  again: <T>(run: () => Promise<T>) => Promise<T>,
+  retry: <T>(run: () => Promise<T>) => Promise<T>,
 ): Promise<void> {
-  const wanted = new Map(rows);
+  const expected = new Map(rows);
   for (const prefix of PREFIXES) {
     let after: string | null = null;
     for (;;) {
       const from: string | null = after;
-      const page: Page = await again(() => store.page(prefix, from, 1000));
+      const page: Page = await retry(() => store.page(prefix, from, 1000));
       for (const { key, value } of page.rows) {
-        // A controller that has come up too early tells of itself, and does nothing else.
-        if (PASSING.some((passing) => key.startsWith(passing))) continue;
-        if (!wanted.has(key)) throw new RestoreRefused(`${key} has come from somewhere else`);
-        if (!isDeepStrictEqual(wanted.get(key), value)) {
-          throw new RestoreRefused(`${key} is not what the image has`);
+        // A controller that was started too early writes its presence, and nothing else.
+        if (TRANSIENT_PREFIXES.some((transient) => key.startsWith(transient))) continue;
+        if (!expected.has(key))
+          throw new RestoreRefused(`${key} is not in the image: another process wrote it`);
+        if (!isDeepStrictEqual(expected.get(key), value)) {
+          throw new RestoreRefused(`${key} differs from the image`);
         }
-        wanted.delete(key);
+        expected.delete(key);
       }
       after = page.rows.at(-1)?.key ?? null;
       if (!page.more || after === null) break;
     }
   }
-  const [missing] = wanted.keys();
-  if (missing !== undefined) throw new RestoreRefused(`${missing} did not arrive`);
+  const [missing] = expected.keys();
+  if (missing !== undefined) throw new RestoreRefused(`${missing} is missing after the restore`);
 }
--- a/src/suspicion/accusations.ts
+++ b/src/suspicion/accusations.ts
@@ -89,7 +89,7 @@
     if (!againstThisRun) return;
     log.warn(
       { by: accusation.by, ground: accusation.ground, judged: accusation.judged },
-      "this controller is accused of having failed",
+      "accused",
     );
     if (accusation.judged) {
       // After a verdict this controller declines parts for a while, even if it seems healthy locally.
@@ -198,10 +198,7 @@
       );
       if (!reassigned) return;
       this.counts.verdicts++;
-      log.warn(
-        { controller: name, ground: accusation.ground, witnesses },
-        "verdict written; claims of the controller reassigned",
-      );
+      log.warn({ controller: name, ground: accusation.ground, witnesses }, "verdict");
     });
   }
 
