--- a/src/lab/hollow-workers.ts
+++ b/src/lab/hollow-workers.ts
@@ -106,9 +106,9 @@
       leaseMs: lease_s * 1000,
       commands: false,
       jobOf: (uid) => this.#jobs.get(uid),
-      saved: this.#saved,
-      tell: (event) => this.#events.push({ ...event, host: key, at: sharedNow() }),
-      answered: (status) => {
+      savedProgress: this.#saved,
+      onTaskEvent: (event) => this.#events.push({ ...event, host: key, at: sharedNow() }),
+      onReportAnswered: (status) => {
         this.#reports++;
         if (status !== 200) this.#refused++;
       },
--- a/src/lab/services.ts
+++ b/src/lab/services.ts
@@ -84,13 +84,13 @@
       { rps: cloud.rps, listLagMs: cloud.list_lag_s * 1000 },
       {
         up: (host, type) => send({ kind: "up", host, type }),
-        notice: () => undefined,
+        terminationNotice: () => undefined,
         gone: (uid) => send({ kind: "gone", uid }),
       },
       draw.random,
       () => draw.latencyMs(cloud.latency_ms),
     );
-    this.#cloud.most = region.machines + region.spare_machines;
+    this.#cloud.maxMachines = region.machines + region.spare_machines;
   }
 
   start(): Promise<string> {
--- a/src/local/command.ts
+++ b/src/local/command.ts
@@ -9,22 +9,22 @@
   controllers: number;
   machines: number;
   port: number;
-  /** Files of the operators' own settings, for all controllers. */
+  /** Files with the operators' settings, for all controllers. */
   tuning: readonly string[];
   /** Whether jobs may run commands on this machine. */
   commands: boolean;
-  /** Whether controllers archive jobs that are over. */
+  /** Whether controllers archive finished jobs. */
   archive: boolean;
-  /** An image that the state service is filled from before controllers start. */
+  /** Image to restore the state service from before controllers start. */
   from?: string;
-  /** The program that controllers run: this one. */
+  /** Path of this program, which controllers run too. */
   program: string;
   write(text: string): void;
 }
 
 /**
- * A whole platform with its controllers, each a process of its own, until the signal. Whatever ends
- * it, the processes it has started end as well.
+ * Runs a platform and its controllers, each in a process of its own, until the signal is aborted.
+ * The controller processes are killed however this function ends.
  * @throws SettingsError when the operators' settings are wrong, before any controller starts
  */
 export async function runLocal(options: LocalOptions, signal: AbortSignal): Promise<void> {
@@ -32,16 +32,16 @@
   const platform = new Platform({ controllers, machines, commands });
   const folder = mkdtempSync(join(tmpdir(), "birchdale-"));
   const children = new Map<number, ChildProcess>();
-  const ended = new Promise<void>((resolve) => {
+  const interrupted = new Promise<void>((resolve) => {
     if (signal.aborted) resolve();
     signal.addEventListener("abort", () => resolve(), { once: true });
   });
   const launch = (n: number, file: string): void => {
-    const more = [
+    const flags = [
       ...tuning.flatMap((name) => ["--tuning", name]),
       ...(archive ? ["--archive"] : []),
     ];
-    const args = [program, ...more, "--config", file];
+    const args = [program, ...flags, "--config", file];
     const child = spawn(process.execPath, args, {
       stdio: ["ignore", "ignore", "inherit"],
       env: { ...process.env, LOG_LEVEL: process.env.LOG_LEVEL ?? "error" },
@@ -49,7 +49,7 @@
     children.set(n, child);
     child.once("exit", () => {
       children.delete(n);
-      // As on a real platform: it is back some seconds after an end.
+      // As on a real platform, a controller that exits is restarted some seconds later.
       if (!signal.aborted) setTimeout(() => !signal.aborted && launch(n, file), 2000).unref();
     });
   };
@@ -67,20 +67,20 @@
       write(`${rows} keys restored from ${from}\n`);
     }
     for (const [n, file] of files.entries()) launch(n, file);
-    // After a restore they first find out what may still be running.
+    // After a restore, controllers first find out which tasks may still be running.
     if (!(await platform.ready(from === undefined ? 30_000 : 120_000)))
-      throw new Error("no controller is ready in time");
+      throw new Error("no controller became healthy in time");
     const teams = platform.settings[0]!.params.teams.map(({ name }) => name).join(", ");
     write(`settings of the first controller: ${files[0]!}\n`);
     write(`ready: submit to ${platform.front.address}, teams ${teams}; end with ctrl-c\n`);
-    await ended;
+    await interrupted;
   } finally {
-    const gone = [...children.values()].map(
+    const exits = [...children.values()].map(
       (child) => new Promise((resolve) => child.once("exit", resolve)),
     );
     for (const child of children.values()) child.kill("SIGKILL");
     platform.stop();
-    await Promise.all(gone);
+    await Promise.all(exits);
     rmSync(folder, { recursive: true, force: true });
   }
 }
--- a/src/local/serve.ts
+++ b/src/local/http-service.ts
@@ -2,66 +2,75 @@
 import type { AddressInfo } from "node:net";
 import { decode, encode } from "../wire/cbor.js";
 
-export interface Asked {
+export interface ServiceRequest {
   method: string;
   path: string;
   query: URLSearchParams;
   body: unknown;
 }
 
-export interface Given {
+export interface ServiceResponse {
   status: number;
   body?: unknown;
   retryAfterS?: number;
 }
 
-/** What answers; null: the connection ends without an answer, as if it had been cut. */
-export type Answerer = (asked: Asked) => Given | null | Promise<Given | null>;
+/** Answers a request. Null closes the connection without a response, as if it had been cut. */
+export type RequestHandler = (
+  request: ServiceRequest,
+) => ServiceResponse | null | Promise<ServiceResponse | null>;
 
-const LIMIT = 64 * 1024;
+const MAX_BODY_BYTES = 64 * 1024;
 
-/** One stand-in on a port of loopback that the system chooses. */
-export class Service {
+/** Base class of the stand-ins: an HTTP server on loopback that exchanges CBOR bodies. */
+export class HttpService {
   readonly #server: Server;
   address = "";
 
   constructor(
-    answer: Answerer,
-    /** How long each answer takes at the least, milliseconds. */
+    handle: RequestHandler,
+    /** Delay added to each response, milliseconds. */
     latencyMs: () => number = () => 0,
   ) {
     this.#server = createServer((req, res) => {
       const chunks: Buffer[] = [];
-      let size = 0;
+      let bodyBytes = 0;
       req.on("data", (chunk: Buffer) => {
-        size += chunk.length;
-        if (size <= LIMIT) chunks.push(chunk);
+        bodyBytes += chunk.length;
+        if (bodyBytes <= MAX_BODY_BYTES) chunks.push(chunk);
       });
       req.on("error", () => res.destroy());
       req.on("end", async () => {
         const url = new URL(req.url ?? "/", "http://stand-in");
-        let given: Given | null;
+        let response: ServiceResponse | null;
         try {
-          if (size > LIMIT) given = { status: 413 };
+          if (bodyBytes > MAX_BODY_BYTES) response = { status: 413 };
           else {
-            const body = size === 0 ? undefined : decode(Buffer.concat(chunks));
+            const body = bodyBytes === 0 ? undefined : decode(Buffer.concat(chunks));
             const path = decodeURIComponent(url.pathname);
-            given = await answer({ method: req.method ?? "", path, query: url.searchParams, body });
+            response = await handle({
+              method: req.method ?? "",
+              path,
+              query: url.searchParams,
+              body,
+            });
           }
         } catch (error) {
-          given = { status: 400, body: { error: (error as Error).message } };
+          response = { status: 400, body: { error: (error as Error).message } };
         }
         const waitMs = latencyMs();
         if (waitMs > 0) await new Promise((resolve) => setTimeout(resolve, waitMs));
-        if (given === null || res.destroyed) {
+        if (response === null || res.destroyed) {
           req.socket.destroy();
           return;
         }
-        const payload = given.body === undefined ? Buffer.alloc(0) : encode(given.body);
-        res.writeHead(given.status, {
+        const payload = response.body === undefined ? Buffer.alloc(0) : encode(response.body);
+        res.writeHead(response.status, {
           "content-type": "application/cbor",
           "content-length": payload.length,
-          ...(given.retryAfterS === undefined ? {} : { "retry-after": String(given.retryAfterS) }),
+          ...(response.retryAfterS === undefined
+            ? {}
+            : { "retry-after": String(response.retryAfterS) }),
         });
         res.end(payload);
       });
--- a/src/local/front.ts
+++ b/src/local/load-balancer.ts
@@ -1,32 +1,32 @@
 import { type Clock, sleep } from "../clock.js";
 import { HttpClient, NoAnswer } from "../http/client.js";
 import { isMap } from "../wire/cbor.js";
-import { type Asked, type Given, Service } from "./serve.js";
-import type { Uploaded } from "./worker.js";
+import { HttpService, type ServiceRequest, type ServiceResponse } from "./http-service.js";
+import type { UploadedJob } from "./worker.js";
 
 /**
- * What users reach: sends each request to a controller that is healthy, and keeps the jobs that
- * are uploaded with it, where workers fetch them. Probes as PROTOCOL says: two failures in a row
- * take a controller out, two answers bring it back.
+ * Load balancer that users connect to. It forwards each request to a healthy controller and keeps
+ * the jobs that users upload, for the workers to fetch. Health probes follow PROTOCOL: two failures
+ * in a row take a controller out of rotation, two successes in a row bring it back.
  */
-export class Front extends Service {
-  readonly jobs = new Map<string, Uploaded>();
-  readonly #nodes: { name: string; client: HttpClient; up: boolean; run: number }[];
-  #turn = 0;
+export class LoadBalancer extends HttpService {
+  readonly jobs = new Map<string, UploadedJob>();
+  readonly #nodes: { name: string; client: HttpClient; up: boolean; streak: number }[];
+  #requestCount = 0;
   #stopped = false;
 
   constructor(
     nodes: ReadonlyMap<string, string>,
     readonly clock: Clock,
-    /** Between two probes. */
-    readonly everyMs: number,
+    /** Time between two health probes, milliseconds. */
+    readonly probeIntervalMs: number,
   ) {
     super((asked) => this.#forward(asked));
     this.#nodes = [...nodes].map(([name, address]) => ({
       name,
       client: new HttpClient(address, 64, clock),
       up: false,
-      run: 0,
+      streak: 0,
     }));
   }
 
@@ -51,27 +51,28 @@
       await Promise.all(
         this.#nodes.map(async (node) => {
           const answer = await node.client
-            .call("GET", "/healthz", undefined, this.everyMs)
+            .call("GET", "/healthz", undefined, this.probeIntervalMs)
             .catch(() => null);
-          const well = answer?.status === 200;
-          node.run = well ? Math.max(1, node.run + 1) : Math.min(-1, node.run - 1);
-          if (node.run >= 2 || (well && !this.#nodes.some(({ up }) => up))) node.up = true;
-          if (node.run <= -2) node.up = false;
+          const ok = answer?.status === 200;
+          node.streak = ok ? Math.max(1, node.streak + 1) : Math.min(-1, node.streak - 1);
+          if (node.streak >= 2 || (ok && !this.#nodes.some(({ up }) => up))) node.up = true;
+          if (node.streak <= -2) node.up = false;
         }),
       );
-      await sleep(this.clock, this.everyMs);
+      await sleep(this.clock, this.probeIntervalMs);
     }
   }
 
-  async #forward({ method, path, body }: Asked): Promise<Given | null> {
+  async #forward({ method, path, body }: ServiceRequest): Promise<ServiceResponse | null> {
     if (method === "POST" && path === "/api/jobs" && isMap(body)) {
-      const job = body as unknown as Uploaded;
+      const job = body as unknown as UploadedJob;
       if (!this.jobs.has(job.uid)) this.jobs.set(job.uid, job);
     }
-    const up = this.#nodes.filter((node) => node.up);
-    // Another one is tried when a connection fails; never when a request may have been executed.
-    for (let attempt = 0; attempt < Math.min(3, up.length); attempt++) {
-      const { client } = up[this.#turn++ % up.length]!;
+    const candidates = this.#nodes.filter((node) => node.up);
+    // Retries on another controller only if the connection was refused, because otherwise the
+    // request may have been executed.
+    for (let attempt = 0; attempt < Math.min(3, candidates.length); attempt++) {
+      const { client } = candidates[this.#requestCount++ % candidates.length]!;
       try {
         const answer = await client.call(method, encodeURI(path), body, 5000);
         const { status, retryAfterS } = answer;
--- a/src/local/platform.ts
+++ b/src/local/platform.ts
@@ -2,7 +2,7 @@
 import { type Clock, sleep, systemClock } from "../clock.js";
 import { parseSettings, type Settings, type Team } from "../settings/settings.js";
 import { Cloud, type CloudType, type Host } from "./cloud.js";
-import { Front } from "./front.js";
+import { LoadBalancer } from "./load-balancer.js";
 import { type PlatformParams, settingsText } from "./settings-text.js";
 import { StateService } from "./state.js";
 import { StateServer } from "./state-server.js";
@@ -10,7 +10,7 @@
 
 export interface PlatformOptions {
   controllers?: number;
-  /** Machines of each type, zone and kind. */
+  /** Most machines of each type, zone and kind (spot or not). */
   machines?: number;
   zones?: string[];
   teams?: Team[];
@@ -22,20 +22,20 @@
   cancelS?: number;
   writeRps?: number;
   valueKb?: number;
-  /** Jobs with a `command` run it on this machine; otherwise they only take their time. */
+  /** Runs the `command` of jobs on this machine; otherwise tasks only wait for `expectS`. */
   commands?: boolean;
   clock?: Clock;
   random?: () => number;
-  /** Hears of every task that starts or ends. */
+  /** Called for every task that starts or ends. */
   watch?(event: TaskEvent & { at: number }): void;
 }
 
-const TEAMS: Team[] = [
+const DEFAULT_TEAMS: Team[] = [
   { name: "red", cpus: 16, cpus_max: 64, gpus: 0, gpus_max: 0 },
   { name: "blue", cpus: 16, cpus_max: 64, gpus: 0, gpus_max: 0 },
 ];
 
-const typesFor = (berths: string[]): CloudType[] => [
+const defaultTypes = (berths: string[]): CloudType[] => [
   {
     name: "small",
     cores: 8,
@@ -50,19 +50,22 @@
   },
 ];
 
-/** Below what systems give to outgoing connections, one of which may take a port meanwhile. */
+/**
+ * Below the range that systems use for outgoing connections, one of which could take a port between
+ * its choice and its use.
+ */
 const FIRST_PORT = 10_000;
 const LAST_PORT = 32_000;
 
-/** A port of loopback that nobody listens on now, drawn so that platforms side by side rarely meet. */
+/** A free loopback port, chosen at random so that platforms that run side by side rarely collide. */
 export async function freePort(): Promise<number> {
   for (;;) {
     const port = FIRST_PORT + Math.floor(Math.random() * (LAST_PORT - FIRST_PORT));
-    if (await isFree(port)) return port;
+    if (await isPortFree(port)) return port;
   }
 }
 
-function isFree(port: number): Promise<boolean> {
+function isPortFree(port: number): Promise<boolean> {
   return new Promise((resolve) => {
     const server = createServer();
     server.once("error", () => resolve(false));
@@ -71,32 +74,32 @@
 }
 
 /**
- * Everything that birchdale needs around it, on loopback: a state service, a cloud whose machines
- * run workers, and a front that users reach. The controllers are started by whoever uses this, with
- * `settings`, in this process or others.
+ * All services that controllers need, on loopback: a state service, a cloud whose machines run
+ * workers, and a load balancer for users. The caller starts the controllers with `settings`, in this
+ * process or in others.
  */
 export class Platform {
   readonly state: StateService;
   readonly stateServer: StateServer;
   readonly cloud: Cloud;
-  front!: Front;
+  front!: LoadBalancer;
   readonly workers = new Map<string, Worker>();
   readonly settings: Settings[] = [];
-  /** The same as texts, for other processes. */
+  /** The same as TOML files' contents, for controllers in other processes. */
   readonly files: string[] = [];
   readonly #nodes = new Map<string, string>();
   #stopped = false;
-  readonly #saved = new Map<string, number | "done">();
+  readonly #savedProgress = new Map<string, number | "done">();
   readonly #options: Required<Omit<PlatformOptions, "watch">> & Pick<PlatformOptions, "watch">;
 
-  constructor(given: PlatformOptions = {}) {
-    const zones = given.zones ?? ["a", "b"];
+  constructor(overrides: PlatformOptions = {}) {
+    const zones = overrides.zones ?? ["a", "b"];
     const options = {
       controllers: 3,
       machines: 8,
       zones,
-      teams: TEAMS,
-      types: typesFor(zones),
+      teams: DEFAULT_TEAMS,
+      types: defaultTypes(zones),
       initial: 0,
       reportS: 1,
       leaseS: 6,
@@ -106,14 +109,14 @@
       commands: false,
       clock: systemClock,
       random: Math.random,
-      ...given,
+      ...overrides,
     };
     this.#options = options;
     const { clock, random } = options;
-    const ops = 24;
+    const maxOps = 24;
     this.state = new StateService(clock, {
-      ops,
-      conditions: 4 * ops,
+      ops: maxOps,
+      conditions: 4 * maxOps,
       valueBytes: options.valueKb * 1024,
     });
     const limits = { rps: 250, writeRps: options.writeRps };
@@ -124,8 +127,8 @@
       options.machines,
       { rps: 5, listLagMs: 2000 },
       {
-        up: (host, type) => void this.#boot(host, type),
-        notice: (uid, warningS) => {
+        up: (host, type) => void this.#startWorker(host, type),
+        terminationNotice: (uid, warningS) => {
           const worker = this.workers.get(uid);
           if (worker !== undefined) worker.warningS = warningS;
         },
@@ -138,7 +141,7 @@
     );
   }
 
-  /** Starts all that is not a controller; `port` is the front's, 0 for any. */
+  /** Starts all services; `port` is the load balancer's, 0 for any free one. */
   async start(port = 0): Promise<void> {
     const { controllers, zones, clock, reportS, initial, types } = this.#options;
     const state = await this.stateServer.start();
@@ -158,18 +161,18 @@
       this.files.push(text);
       this.settings.push(parseSettings(text, node.name));
     }
-    this.front = new Front(this.#nodes, clock, Math.max(100, reportS * 250));
+    this.front = new LoadBalancer(this.#nodes, clock, Math.max(100, reportS * 250));
     await this.front.start(port);
     for (const zone of zones)
       for (let n = 0; n < initial; n++) this.cloud.add(types[0]!, zone, false);
   }
 
-  /** Until at least one controller takes requests, or the time is over. */
+  /** Waits for a healthy controller; false if there is none after `withinMs`. */
   async ready(withinMs = 30_000): Promise<boolean> {
     const { clock } = this.#options;
-    const until = clock.now() + withinMs;
+    const deadline = clock.now() + withinMs;
     while (this.front.healthy.length === 0) {
-      if (clock.now() > until) return false;
+      if (clock.now() > deadline) return false;
       await sleep(clock, 50);
     }
     return true;
@@ -185,7 +188,7 @@
     this.state.stop();
   }
 
-  async #boot(host: Host, type: CloudType): Promise<void> {
+  async #startWorker(host: Host, type: CloudType): Promise<void> {
     const { clock, reportS, leaseS, commands, random, watch } = this.#options;
     const worker = new Worker({
       clock,
@@ -196,8 +199,8 @@
       leaseMs: leaseS * 1000,
       commands,
       jobOf: (uid) => this.front.jobs.get(uid),
-      saved: this.#saved,
-      tell: (event) => watch?.({ ...event, at: clock.now() }),
+      savedProgress: this.#savedProgress,
+      onTaskEvent: (event) => watch?.({ ...event, at: clock.now() }),
       random,
     });
     this.workers.set(host.uid, worker);
--- a/src/local/settings-text.ts
+++ b/src/local/settings-text.ts
@@ -1,7 +1,7 @@
-/** Settings files of controllers (DEPLOY), for platforms that run on this machine. */
+/** Builds settings files of controllers (DEPLOY), for platforms that run on this machine. */
 import type { Team } from "../settings/settings.js";
 
-/** A controller and where it is reached. */
+/** A controller and its addresses. */
 export interface NodeAddresses {
   name: string;
   zone: string;
@@ -11,7 +11,7 @@
   peer: string;
 }
 
-/** What all controllers of a platform are told alike. */
+/** Settings that are the same for all controllers of a platform. */
 export interface PlatformParams {
   zones: readonly string[];
   teams: readonly Team[];
@@ -29,13 +29,13 @@
   params: PlatformParams,
 ): string {
   const { zones, teams, workers, state, cloud, quota } = params;
-  const known = nodes
+  const knownTables = nodes
     .filter(({ name }) => name !== own.name)
     .map(
       ({ name, zone, peer }) =>
         `[[known]]\nnode_name = "${name}"\nsite = "${zone}"\naddr = "${peer}"\n`,
     );
-  const listed = teams.map(
+  const teamTables = teams.map(
     ({ name, cpus, cpus_max, gpus, gpus_max }) =>
       `[[params.teams]]\nname = "${name}"\ncpus = ${cpus}\ncpus_max = ${cpus_max}\n` +
       `gpus = ${gpus}\ngpus_max = ${gpus_max}\n`,
@@ -45,7 +45,7 @@
 listen = "${own.listen}"
 cluster_listen = "${own.peer}"
 
-${known.join("\n")}
+${knownTables.join("\n")}
 [services]
 cloud = "${services.cloud}"
 state = "${services.state}"
@@ -55,7 +55,7 @@
 zones = ${JSON.stringify(zones)}
 clock_error_ms = 5
 
-${listed.join("\n")}
+${teamTables.join("\n")}
 [params.workers]
 report_s = ${workers.reportS}
 lease_s = ${workers.leaseS}
--- a/src/local/state.ts
+++ b/src/local/state.ts
@@ -7,14 +7,14 @@
   type TxnResult,
 } from "../state/store.js";
 
-/** What the service keeps to and what it refuses (PROTOCOL, "Controller nodes -> state service"). */
+/** Limits of a transaction and of a value (PROTOCOL, "Controller nodes -> state service"). */
 export interface StateLimits {
   ops: number;
   conditions: number;
   valueBytes: number;
 }
 
-/** A request that PROTOCOL answers with 400. */
+/** Thrown for a request that PROTOCOL answers with 400. */
 export class Malformed extends Error {}
 
 export interface StateRow {
@@ -24,57 +24,57 @@
 }
 
 const copy = <T>(value: T): T => structuredClone(value);
-/** Bytes of a value as PROTOCOL counts them: those of its JSON. */
-export const sizeOf = (value: unknown): number => JSON.stringify(value)?.length ?? 0;
-const LIST_BYTES = 500 * 1024;
-const KEPT_EVENTS = 10_000;
-const TXN_BYTES = 64 * 1024;
+/** Size of a value as PROTOCOL counts it: the length of its JSON. */
+export const jsonBytes = (value: unknown): number => JSON.stringify(value)?.length ?? 0;
+const MAX_LIST_BYTES = 500 * 1024;
+const MAX_LOG_EVENTS = 10_000;
+const MAX_TRANSACTION_BYTES = 64 * 1024;
 
-/** The state service, in memory: what `server.ts` puts on a socket, and tests call as it is. */
+/** In-memory state service. `state-server.ts` serves it over HTTP; tests call it directly. */
 export class StateService {
   readonly rows = new Map<string, StateRow>();
-  /** All keys in order; null when rows were changed from outside. */
-  #order: string[] | null = null;
+  /** All keys in order; null when it must be rebuilt from `rows`. */
+  #sortedKeys: string[] | null = null;
   readonly leases = new Map<number, { ttlMs: number; endsAt: number }>();
   readonly log: Event[] = [];
   revision = 0;
   outage = false;
-  #lease = 0;
+  #lastLeaseId = 0;
   #watchers: { prefix: string; wake: () => void }[] = [];
-  #timer: Timer | null = null;
+  #expiryTimer: Timer | null = null;
 
   constructor(
     readonly clock: Clock,
     public limits: StateLimits,
   ) {
-    this.#expire();
+    this.#expireLeases();
   }
 
   stop(): void {
-    this.#timer?.cancel();
+    this.#expiryTimer?.cancel();
     for (const { wake } of this.#watchers) wake();
     this.#watchers = [];
   }
 
   setOutage(on: boolean): void {
     this.outage = on;
-    // Once it is over, every lease has its full time again.
-    if (!on) for (const l of this.leases.values()) l.endsAt = this.clock.now() + l.ttlMs;
+    // At the end of an outage, every lease starts its full time again.
+    if (!on) for (const held of this.leases.values()) held.endsAt = this.clock.now() + held.ttlMs;
   }
 
-  #expire(): void {
+  #expireLeases(): void {
     if (!this.outage) {
       for (const [id, { endsAt }] of [...this.leases]) {
-        // It may end a little late, never early.
+        // A lease may end slightly late, but never early.
         if (endsAt + 50 <= this.clock.now()) this.endLease(id);
       }
     }
-    this.#timer = this.clock.after(50, () => this.#expire());
+    this.#expiryTimer = this.clock.after(50, () => this.#expireLeases());
   }
 
   openLease(ttlMs: number): number {
-    this.leases.set(++this.#lease, { ttlMs, endsAt: this.clock.now() + ttlMs });
-    return this.#lease;
+    this.leases.set(++this.#lastLeaseId, { ttlMs, endsAt: this.clock.now() + ttlMs });
+    return this.#lastLeaseId;
   }
 
   renew(id: number): void {
@@ -91,13 +91,17 @@
 
   transact(when: Condition[], then: Change[]): TxnResult {
     const size = JSON.stringify([when, then]).length;
-    if (then.length > this.limits.ops) throw new Malformed(`transaction of ${then.length} changes`);
-    if (when.length > this.limits.conditions) throw new Malformed("too many conditions");
-    if (size > TXN_BYTES) throw new Malformed(`transaction of ${size} bytes`);
+    if (then.length > this.limits.ops)
+      throw new Malformed(`transaction has ${then.length} changes, more than allowed`);
+    if (when.length > this.limits.conditions)
+      throw new Malformed("transaction has more conditions than allowed");
+    if (size > MAX_TRANSACTION_BYTES)
+      throw new Malformed(`transaction has ${size} bytes, more than allowed`);
     for (const change of then) {
       if (!("put" in change)) continue;
       const bytes = JSON.stringify(change.value).length;
-      if (bytes > this.limits.valueBytes) throw new Malformed(`${change.put}: ${bytes} bytes`);
+      if (bytes > this.limits.valueBytes)
+        throw new Malformed(`${change.put}: value has ${bytes} bytes, more than allowed`);
       if (change.lease !== undefined && !this.leases.has(Number(change.lease))) {
         throw new NoLease("no such lease");
       }
@@ -120,55 +124,60 @@
         this.rows.set(change.put, { value, version, lease });
         this.log.push({ key: change.put, value, version, deleted: false });
       } else {
-        if (this.rows.delete(change.remove)) this.#order?.splice(this.#place(change.remove), 1);
+        if (this.rows.delete(change.remove))
+          this.#sortedKeys?.splice(this.#lowerBound(change.remove), 1);
         this.log.push({ key: change.remove, value: undefined, version, deleted: true });
       }
     }
-    if (this.log.length > KEPT_EVENTS) this.log.splice(0, this.log.length - KEPT_EVENTS);
+    if (this.log.length > MAX_LOG_EVENTS) this.log.splice(0, this.log.length - MAX_LOG_EVENTS);
     const watchers = this.#watchers;
     this.#watchers = [];
     for (const { wake } of watchers) wake();
   }
 
-  /** The place of the first key that is not before one. */
-  #place(key: string): number {
-    this.#order ??= [...this.rows.keys()].sort();
+  /** Index of the first key that is not less than `key`. */
+  #lowerBound(key: string): number {
+    this.#sortedKeys ??= [...this.rows.keys()].sort();
     let from = 0;
-    let to = this.#order.length;
+    let to = this.#sortedKeys.length;
     while (from < to) {
       const middle = (from + to) >> 1;
-      if (this.#order[middle]! < key) from = middle + 1;
+      if (this.#sortedKeys[middle]! < key) from = middle + 1;
       else to = middle;
     }
     return from;
   }
 
   #insert(key: string): void {
-    const at = this.#place(key);
-    if (this.#order![at] !== key) this.#order!.splice(at, 0, key);
+    const at = this.#lowerBound(key);
+    if (this.#sortedKeys![at] !== key) this.#sortedKeys!.splice(at, 0, key);
   }
 
-  /** Puts rows there as they are, such as those of a deployment that has run for long. */
+  /** Stores rows as they are, without events, such as those of a long-running deployment. */
   fill(rows: Iterable<[key: string, row: StateRow]>): void {
     for (const [key, row] of rows) {
       this.rows.set(key, row);
       this.revision = Math.max(this.revision, row.version);
     }
-    this.#order = null;
+    this.#sortedKeys = null;
   }
 
-  /** Rows under a prefix, in order of their keys, beginning after one. */
-  list(prefix: string, after: string, most: number): { rows: [string, StateRow][]; more: boolean } {
-    let at = this.#place(after < prefix ? prefix : after);
-    const order = this.#order!;
+  /** Rows under a prefix, in key order, starting after the key `after`. */
+  list(
+    prefix: string,
+    after: string,
+    maxRows: number,
+  ): { rows: [string, StateRow][]; more: boolean } {
+    let at = this.#lowerBound(after < prefix ? prefix : after);
+    const order = this.#sortedKeys!;
     if (order[at] === after) at++;
     const rows: [string, StateRow][] = [];
     let bytes = 0;
     for (; at < order.length && order[at]!.startsWith(prefix); at++) {
-      // A response holds no more than so many rows, and 512 KiB.
-      if (rows.length >= most || bytes > LIST_BYTES) return { rows, more: true };
+      // A response holds at most `maxRows` rows and 512 KiB; `MAX_LIST_BYTES` leaves a margin.
+      if (rows.length >= maxRows || bytes > MAX_LIST_BYTES) return { rows, more: true };
       const row = this.rows.get(order[at]!)!;
-      if (LIST_BYTES < most * this.limits.valueBytes) bytes += sizeOf(row.value);
+      if (MAX_LIST_BYTES < maxRows * this.limits.valueBytes) bytes += jsonBytes(row.value);
       rows.push([order[at]!, row]);
     }
     return { rows, more: false };
@@ -176,9 +185,9 @@
 
   changes(prefix: string, after: number): Event[] | null {
     const oldest = this.log[0]?.version ?? 0;
-    if (this.log.length >= KEPT_EVENTS && after < oldest - 1) return null;
+    if (this.log.length >= MAX_LOG_EVENTS && after < oldest - 1) return null;
     const found: Event[] = [];
-    // The newest are at the end, and most who ask have seen nearly all of them.
+    // Searches backwards: the newest events are last, and most callers need only a few of them.
     for (let at = this.log.length - 1; at >= 0; at--) {
       const event = this.log[at]!;
       if (event.version <= after) break;
@@ -187,7 +196,7 @@
     return found.reverse();
   }
 
-  /** Resolves with the next change of anything, or when the time is over. */
+  /** Resolves at the next change of any key, or after `waitMs`. */
   changed(prefix: string, waitMs: number): Promise<void> {
     return new Promise((wake) => {
       const timer = this.clock.after(waitMs, wake);
--- a/src/local/worker.ts
+++ b/src/local/worker.ts
@@ -4,10 +4,10 @@
 import { isMap } from "../wire/cbor.js";
 import type { Command } from "../wire/workers.js";
 import type { CloudType, Host } from "./cloud.js";
-import { type Asked, type Given, Service } from "./serve.js";
+import { HttpService, type ServiceRequest, type ServiceResponse } from "./http-service.js";
 
-/** What a worker has to know of a job: users upload it. */
-export interface Uploaded {
+/** The part of a submitted job that workers need. */
+export interface UploadedJob {
   uid: string;
   shape: string;
   cores: number;
@@ -18,14 +18,17 @@
   expectS: number;
   stashEveryS: number;
   stashS: number;
-  /** What a task runs instead of waiting for `expectS`; only where commands are allowed. */
+  /** Command that a task runs instead of waiting for `expectS`; only where commands are allowed. */
   command?: string[];
-  /** Of a submit file: `$(ProcId)` in the command stands for this number and the task's. */
+  /**
+   * For jobs from a submit file: `$(ProcId)` in the command and environment is replaced by the sum
+   * of this and the task's number.
+   */
   firstProc?: number;
   environment?: Record<string, string>;
 }
 
-/** What became of one task, for whoever watches the platform. */
+/** Start or end of a task, reported to observers of the platform. */
 export interface TaskEvent {
   kind: "started" | "ended";
   piece: string;
@@ -34,97 +37,100 @@
   cause: string;
 }
 
-/** Reports go out no more often than this, whatever changes (PROTOCOL). */
-const LEAST_APART_MS = 500;
+/** Minimum time between two reports, even if tasks change (PROTOCOL). */
+const MIN_REPORT_INTERVAL_MS = 500;
 
 interface Task {
   piece: string;
   attempt: number;
-  job: Uploaded;
+  job: UploadedJob;
   status: "pulling" | "running" | "saving" | "ended";
   cause: string;
   kept: boolean;
   timer: Timer | null;
   child: ChildProcess | null;
-  since: number;
-  /** Progress when it began to run, seconds. */
-  from: number;
+  runningSince: number;
+  /** Saved progress that the task started from, seconds. */
+  startProgressS: number;
 }
 
 export interface WorkerOptions {
   clock: Clock;
   host: Host;
   type: CloudType;
-  /** Addresses by name, of all controllers. */
+  /** Addresses of all controllers, by name. */
   nodes: ReadonlyMap<string, string>;
   reportMs: number;
   leaseMs: number;
-  /** Runs commands of jobs; without it tasks only take their time. */
+  /** Runs commands of jobs; otherwise tasks only wait for `expectS`. */
   commands: boolean;
-  jobOf(uid: string): Uploaded | undefined;
-  /** Progress that tasks have saved, and results: kept outside of machines. */
-  saved: Map<string, number | "done">;
-  tell(event: TaskEvent): void;
-  /** Hears of every report: the answer's status, 0 when none came. */
-  answered?(status: number): void;
+  jobOf(uid: string): UploadedJob | undefined;
+  /** By task, its saved progress in seconds or that it is done; outlives the machine. */
+  savedProgress: Map<string, number | "done">;
+  onTaskEvent(event: TaskEvent): void;
+  /** Called after every report with the answer's status, 0 if there was no answer. */
+  onReportAnswered?(status: number): void;
   random(): number;
 }
 
-/** One machine's worker: reports, obeys the newest token, keeps its lease, runs tasks. */
-export class Worker extends Service {
+/**
+ * Worker of one machine: runs tasks, sends reports, obeys the owner with the newest fencing token,
+ * and kills its tasks when its lease expires.
+ */
+export class Worker extends HttpService {
   readonly tasks = new Map<string, Task>();
   session = 1;
   token = 0;
-  /** Nothing goes in or out. */
+  /** Simulated network partition: no report is sent and no request answered. */
   cut = false;
   warningS: number | null = null;
-  #tally = 0;
-  #leaseFrom: number;
-  #names: string[];
-  #node: number;
-  #changed = false;
+  #reportNumber = 0;
+  #leaseRenewedAt: number;
+  #nodeNames: string[];
+  #nodeIndex: number;
+  #reportDue = false;
   #stopped = false;
-  #timer: Timer | null = null;
-  #wake: (() => void) | null = null;
-  /** When the last report was sent: none follows within `LEAST_APART_MS`. */
+  #reportTimer: Timer | null = null;
+  #wakeReporter: (() => void) | null = null;
+  /** When the last report was sent: none follows within `MIN_REPORT_INTERVAL_MS`. */
   #reportedAt = Number.NEGATIVE_INFINITY;
-  readonly #images = new Set<string>();
-  /** The connection to the node that this worker reports to, and that node's name. */
+  readonly #cachedImages = new Set<string>();
+  /** Connection to the controller that this worker reports to, and that controller's name. */
   #connection: { node: string; client: HttpClient } | null = null;
 
   constructor(readonly options: WorkerOptions) {
-    super((asked) => this.#direct(asked));
-    this.#leaseFrom = options.clock.now();
-    this.#names = [...options.nodes.keys()];
-    this.#node = Math.floor(options.random() * this.#names.length);
+    super((request) => this.#handleRequest(request));
+    this.#leaseRenewedAt = options.clock.now();
+    this.#nodeNames = [...options.nodes.keys()];
+    this.#nodeIndex = Math.floor(options.random() * this.#nodeNames.length);
   }
 
   override async start(): Promise<string> {
     const address = await super.start();
-    void this.#reports();
+    void this.#reportLoop();
     return address;
   }
 
-  /** The machine is gone, with all that was on it. */
+  /** Removes the machine with all its tasks. */
   override stop(): void {
     this.#stopped = true;
-    this.#timer?.cancel();
-    this.#dropAll();
+    this.#reportTimer?.cancel();
+    this.#killAllTasks();
     this.#connection?.client.close();
     super.stop();
   }
 
-  /** The machine is started anew: its tasks are gone, and its next report begins a session. */
+  /** Restarts the machine: its tasks are killed, and its next report starts a new session. */
   restart(): void {
-    this.#dropAll();
+    this.#killAllTasks();
     this.session++;
-    this.#leaseFrom = this.options.clock.now();
-    this.#hasChanged();
+    this.#leaseRenewedAt = this.options.clock.now();
+    this.#reportSoon();
   }
 
-  #dropAll(): void {
+  #killAllTasks(): void {
     for (const task of this.tasks.values()) {
-      if (task.status !== "ended") this.#end(task, "killed");
+      if (task.status !== "ended") this.#endTask(task, "killed");
     }
     this.tasks.clear();
   }
@@ -138,7 +144,7 @@
       berth: host.berth,
       borrowed: host.borrowed,
       shift: this.session,
-      tally: ++this.#tally,
+      tally: ++this.#reportNumber,
       baton: this.token,
       warningS: this.warningS,
       pieces: [...this.tasks.values()].map(({ piece, attempt, status, cause, kept }) => ({
@@ -150,33 +156,34 @@
     };
   }
 
-  /** Until the time is over; a change ends it earlier, but not before the next report may be sent. */
-  #pause(ms: number): Promise<void> {
+  /** Waits for `ms`; `#reportSoon` ends the wait earlier, but not before the next report may be sent. */
+  #waitForNextReport(ms: number): Promise<void> {
     const { clock } = this.options;
-    const from = clock.now();
+    const startedAt = clock.now();
     return new Promise((resolve) => {
-      const sleepFor = (left: number): void => {
-        this.#timer?.cancel();
-        this.#timer = clock.after(left, () => {
-          this.#wake = null;
+      const sleepFor = (remainingMs: number): void => {
+        this.#reportTimer?.cancel();
+        this.#reportTimer = clock.after(remainingMs, () => {
+          this.#wakeReporter = null;
           resolve();
         });
       };
-      this.#wake = () => {
-        const left = Math.min(from + ms, this.#reportedAt + LEAST_APART_MS) - clock.now();
-        sleepFor(Math.max(0, left));
+      this.#wakeReporter = () => {
+        const delayMs =
+          Math.min(startedAt + ms, this.#reportedAt + MIN_REPORT_INTERVAL_MS) - clock.now();
+        sleepFor(Math.max(0, delayMs));
       };
-      if (this.#changed) this.#wake();
+      if (this.#reportDue) this.#wakeReporter();
       else sleepFor(ms);
     });
   }
 
-  #hasChanged(): void {
-    this.#changed = true;
-    this.#wake?.();
+  #reportSoon(): void {
+    this.#reportDue = true;
+    this.#wakeReporter?.();
   }
 
-  /** A worker has one connection: what it had to another node is closed. */
+  /** A worker has a single connection: one to another controller is closed first. */
   #connect(node: string): HttpClient {
     if (this.#connection?.node === node) return this.#connection.client;
     this.#connection?.client.close();
@@ -185,51 +192,51 @@
     return client;
   }
 
-  /** One report after another, each to one node, as PROTOCOL's table of answers says. */
-  async #reports(): Promise<void> {
+  /** Sends reports one at a time, and acts on each answer as PROTOCOL's table of answers says. */
+  async #reportLoop(): Promise<void> {
     const { clock, reportMs, leaseMs, random } = this.options;
     while (!this.#stopped) {
-      if (clock.now() - this.#leaseFrom > leaseMs) {
-        this.#dropAll();
+      if (clock.now() - this.#leaseRenewedAt > leaseMs) {
+        this.#killAllTasks();
         this.session++;
-        this.#leaseFrom = clock.now();
+        this.#leaseRenewedAt = clock.now();
       }
       const sentAt = clock.now();
       const { session } = this;
-      this.#changed = false;
-      const name = this.#names[this.#node]!;
+      this.#reportDue = false;
+      const name = this.#nodeNames[this.#nodeIndex]!;
       const client = this.#connect(name);
       this.#reportedAt = sentAt;
       const answer = this.cut
         ? null
         : await client.call("POST", "/checkin", this.report(), 4000).catch(() => null);
       if (this.#stopped) return;
-      this.options.answered?.(answer?.status ?? 0);
-      let pause = reportMs * (0.75 + 0.5 * random());
+      this.options.onReportAnswered?.(answer?.status ?? 0);
+      let waitMs = reportMs * (0.75 + 0.5 * random());
       const body = answer !== null && !this.cut && isMap(answer.body) ? answer.body : {};
-      const next = (): void => {
-        this.#node = (this.#node + 1) % this.#names.length;
-        pause = Math.min(1000, reportMs);
+      const tryNextNode = (): void => {
+        this.#nodeIndex = (this.#nodeIndex + 1) % this.#nodeNames.length;
+        waitMs = Math.min(1000, reportMs);
       };
       if (answer?.status === 421) {
-        const to = this.#names.indexOf(String(body.answerTo));
-        if (to < 0 || to === this.#node) next();
+        const target = this.#nodeNames.indexOf(String(body.answerTo));
+        if (target < 0 || target === this.#nodeIndex) tryNextNode();
         else {
-          this.#node = to;
-          pause = 0;
+          this.#nodeIndex = target;
+          waitMs = 0;
         }
-      } else if (answer?.status !== 200) next();
+      } else if (answer?.status !== 200) tryNextNode();
       else if (session === this.session && Number(body.baton) >= this.token) {
-        if (Number(body.baton) > this.token) this.#changed = true;
+        if (Number(body.baton) > this.token) this.#reportDue = true;
         this.token = Number(body.baton);
-        this.#leaseFrom = sentAt;
-        this.#execute((body.orders ?? []) as Command[]);
+        this.#leaseRenewedAt = sentAt;
+        this.#executeOrders((body.orders ?? []) as Command[]);
       }
-      await this.#pause(pause);
+      await this.#waitForNextReport(waitMs);
     }
   }
 
-  #direct({ method, path, body }: Asked): Given | null {
+  #handleRequest({ method, path, body }: ServiceRequest): ServiceResponse | null {
     if (this.cut) return null;
     if (method === "GET" && path === "/status") return { status: 200, body: this.report() };
     if (path !== "/orders" || !isMap(body)) return { status: 400 };
@@ -237,36 +244,36 @@
     if (typeof baton !== "number" || typeof shift !== "number") return { status: 400 };
     if (baton < this.token || shift !== this.session) return { status: 409, body: this.report() };
     this.token = baton;
-    this.#execute((orders ?? []) as Command[]);
+    this.#executeOrders((orders ?? []) as Command[]);
     return { status: 200, body: this.report() };
   }
 
-  #execute(orders: readonly Command[]): void {
+  #executeOrders(orders: readonly Command[]): void {
     for (const order of orders) {
       const known = this.tasks.get(order.piece);
-      if (order.verb === "start") this.#begin(order.piece, order.try, known);
+      if (order.verb === "start") this.#startTask(order.piece, order.try, known);
       else if (known?.attempt !== order.try) continue;
       else if (order.verb === "clear" && known.status === "ended") this.tasks.delete(order.piece);
       else if (order.verb === "stop" && known.status !== "ended")
-        this.#halt(known, order.windDownS);
-      this.#hasChanged();
+        this.#stopTask(known, order.windDownS);
+      this.#reportSoon();
     }
   }
 
-  #begin(piece: string, attempt: number, known: Task | undefined): void {
+  #startTask(piece: string, attempt: number, known: Task | undefined): void {
     if (known?.attempt === attempt) return;
     const job = this.options.jobOf(piece.slice(0, piece.lastIndexOf("/")));
     const task: Task = {
       piece,
       attempt,
-      job: job ?? ({} as Uploaded),
+      job: job ?? ({} as UploadedJob),
       status: "pulling",
       cause: "",
       kept: false,
       timer: null,
       child: null,
-      since: 0,
-      from: 0,
+      runningSince: 0,
+      startProgressS: 0,
     };
     const refuse = (cause: string): void => {
       this.tasks.set(piece, { ...task, status: "ended", cause });
@@ -276,89 +283,90 @@
       return;
     }
     const { type, clock } = this.options;
-    const left = { cores: type.cores, accelerators: type.accelerators, memGb: type.memGb };
+    const free = { cores: type.cores, accelerators: type.accelerators, memGb: type.memGb };
     for (const { status, job: other } of this.tasks.values()) {
       if (status === "ended") continue;
-      left.cores -= other.cores;
-      left.accelerators -= other.accelerators;
-      left.memGb -= other.memGb;
+      free.cores -= other.cores;
+      free.accelerators -= other.accelerators;
+      free.memGb -= other.memGb;
     }
-    const small = (["cores", "accelerators", "memGb"] as const).some(
-      (what) => job[what] > left[what] + 1e-6,
+    const insufficient = (["cores", "accelerators", "memGb"] as const).some(
+      (resource) => job[resource] > free[resource] + 1e-6,
     );
-    if (small) {
+    if (insufficient) {
       refuse("full");
       return;
     }
     this.tasks.set(piece, task);
     const image = job.bundle;
-    const here = image === null || this.#images.has(image);
-    const fetchMs = here ? 0 : (job.sizeGb / type.fetchGbPerS) * 1000;
+    const cached = image === null || this.#cachedImages.has(image);
+    const fetchMs = cached ? 0 : (job.sizeGb / type.fetchGbPerS) * 1000;
     task.timer = clock.after(fetchMs, () => {
-      if (image !== null) this.#images.add(image);
-      this.#runs(task);
+      if (image !== null) this.#cachedImages.add(image);
+      this.#runTask(task);
     });
   }
 
-  #runs(task: Task): void {
+  #runTask(task: Task): void {
     const { options } = this;
     const { job, piece } = task;
-    const saved = options.saved.get(piece);
+    const saved = options.savedProgress.get(piece);
     task.status = "running";
-    task.since = options.clock.now();
-    task.from = typeof saved === "number" ? saved : 0;
-    this.#hasChanged();
-    options.tell({ ...this.#event(task), kind: "started" });
+    task.runningSince = options.clock.now();
+    task.startProgressS = typeof saved === "number" ? saved : 0;
+    this.#reportSoon();
+    options.onTaskEvent({ ...this.#taskEvent(task), kind: "started" });
     const done = (): void => {
-      options.saved.set(piece, "done");
-      this.#end(task, "done");
+      options.savedProgress.set(piece, "done");
+      this.#endTask(task, "done");
     };
     if (saved === "done") done();
     else if (options.commands && job.command !== undefined && job.command.length > 0) {
-      const proc = (job.firstProc ?? 0) + Number(piece.slice(piece.lastIndexOf("/") + 1));
-      const filled = (text: string): string => text.replaceAll("$(ProcId)", String(proc));
-      const [program, ...args] = job.command.map(filled);
+      const procId = (job.firstProc ?? 0) + Number(piece.slice(piece.lastIndexOf("/") + 1));
+      const substitute = (text: string): string => text.replaceAll("$(ProcId)", String(procId));
+      const [program, ...args] = job.command.map(substitute);
       const env: NodeJS.ProcessEnv = { PIECE: piece };
-      for (const [name, text] of Object.entries(job.environment ?? {})) env[name] = filled(text);
+      for (const [name, text] of Object.entries(job.environment ?? {}))
+        env[name] = substitute(text);
       const child = spawn(program!, args, { stdio: "ignore", env });
       task.child = child;
-      child.once("error", () => this.#end(task, "error"));
-      child.once("exit", (code) => (code === 0 ? done() : this.#end(task, "error")));
+      child.once("error", () => this.#endTask(task, "error"));
+      child.once("exit", (code) => (code === 0 ? done() : this.#endTask(task, "error")));
     } else if (job.shape !== "service") {
-      task.timer = options.clock.after(Math.max(0, job.expectS - task.from) * 1000, done);
+      task.timer = options.clock.after(Math.max(0, job.expectS - task.startProgressS) * 1000, done);
     }
   }
 
-  #event({ piece, cause }: Task): Omit<TaskEvent, "kind"> {
+  #taskEvent({ piece, cause }: Task): Omit<TaskEvent, "kind"> {
     return { piece, host: this.options.host.uid, berth: this.options.host.berth, cause };
   }
 
-  #halt(task: Task, windDownS: number): void {
+  #stopTask(task: Task, windDownS: number): void {
     const { job } = task;
     const saves = task.status === "running" && job.stashEveryS > 0 && windDownS >= job.stashS;
     if (task.status === "saving" && windDownS > 0) return;
     if (!saves) {
-      this.#end(task, "stopped");
+      this.#endTask(task, "stopped");
       return;
     }
     task.timer?.cancel();
     task.status = "saving";
     task.timer = this.options.clock.after(job.stashS * 1000, () => {
-      const ran = (this.options.clock.now() - task.since) / 1000 - job.stashS;
-      this.options.saved.set(task.piece, task.from + Math.max(0, ran));
+      const ranS = (this.options.clock.now() - task.runningSince) / 1000 - job.stashS;
+      this.options.savedProgress.set(task.piece, task.startProgressS + Math.max(0, ranS));
       task.kept = true;
-      this.#end(task, "stopped");
+      this.#endTask(task, "stopped");
     });
   }
 
-  #end(task: Task, cause: string): void {
+  #endTask(task: Task, cause: string): void {
     if (task.status === "ended") return;
-    const ran = task.status !== "pulling";
+    const hadStarted = task.status !== "pulling";
     task.timer?.cancel();
     task.status = "ended";
     task.cause = cause;
-    this.#hasChanged();
+    this.#reportSoon();
     task.child?.kill("SIGKILL");
-    if (ran) this.options.tell({ ...this.#event(task), kind: "ended" });
+    if (hadStarted) this.options.onTaskEvent({ ...this.#taskEvent(task), kind: "ended" });
   }
 }
--- a/test/stand-ins.test.ts
+++ b/test/stand-ins.test.ts
@@ -33,7 +33,7 @@
   const told: string[] = [];
   const events = {
     up: ({ uid }: Host) => void told.push(`up ${uid}`),
-    notice: () => undefined,
+    terminationNotice: () => undefined,
     gone: (uid: string) => void told.push(`gone ${uid}`),
   };
   const limits = { rps: 100, listLagMs: 1000 };
@@ -72,7 +72,7 @@
 for (const { most, asked, status, got } of rentals) {
   test(`stand-ins: beside one machine, ${asked} asked of ${most} in all: ${got}, status ${status}`, async () => {
     const { cloud } = cloudOf(10);
-    cloud.most = most;
+    cloud.maxMachines = most;
     cloud.add(TYPE, "a", false);
     const client = new HttpClient(await cloud.start(), 1, systemClock);
     try {
@@ -161,8 +161,8 @@
       stashEveryS: 0,
       stashS: 0,
     }),
-    saved: new Map(),
-    tell: ({ kind, piece }) => ended.push(`${kind} ${piece}`),
+    savedProgress: new Map(),
+    onTaskEvent: ({ kind, piece }) => ended.push(`${kind} ${piece}`),
     random: () => 0.5,
   });
   const client = new HttpClient(await worker.start(), 1, systemClock);
