--- a/src/lab/children.ts
+++ b/src/lab/child-processes.ts
@@ -1,17 +1,19 @@
-/** The processes of a run: controllers with the deployment's flags, and the lab's own. */
+/**
+ * Child processes of a run: controllers, with the deployment's flags, and the lab's own processes.
+ */
 import { type ChildProcess, spawn } from "node:child_process";
 import { existsSync, readFileSync } from "node:fs";
 import { dirname, join } from "node:path";
 import { parse } from "smol-toml";
 import type { Assignment, Figures, FromProcess, ToProcess } from "./messages.js";
-import { ProcessUse } from "./resources.js";
+import { ProcessUsage } from "./process-usage.js";
 import { ScenarioError } from "./scenario.js";
 
-const START_MS = 20_000;
-const SAMPLE_MS = 5000;
+const START_TIMEOUT_MS = 20_000;
+const SAMPLE_TIMEOUT_MS = 5000;
 const SERVICE_FILE = join("deploy", "service.toml");
 
-/** What stands in `deploy/service.toml` before and after the program's name. */
+/** Flags in `deploy/service.toml` before (Node's) and after (the program's) the program's name. */
 export interface ControllerCommand {
   nodeFlags: string[];
   programFlags: string[];
@@ -21,60 +23,66 @@
 export function splitCommand(command: string): ControllerCommand {
   const words = command.split(/\s+/).filter((word) => word !== "");
   const program = words.findIndex((word) => word.endsWith(".js"));
-  if (program < 0) throw new ScenarioError(`${SERVICE_FILE}: run: names no program`);
+  if (program < 0)
+    throw new ScenarioError(
+      `${SERVICE_FILE}: run: expected a command with a program that ends in .js`,
+    );
   return {
     nodeFlags: words.slice(1, program),
     programFlags: words.slice(program + 1).filter((word) => word !== "--config"),
   };
 }
 
-/** The flags by which a deployment runs controllers; the file stands above the program. */
+/**
+ * Reads the deployment's flags for controllers from the nearest `deploy/service.toml` above the
+ * program.
+ */
 export function controllerCommand(program: string): ControllerCommand {
   for (let folder = dirname(program); ; folder = dirname(folder)) {
     const file = join(folder, SERVICE_FILE);
     if (existsSync(file)) return splitCommand(String(parse(readFileSync(file, "utf8")).run ?? ""));
     if (dirname(folder) === folder)
-      throw new ScenarioError(`${SERVICE_FILE}: there is no such file above ${program}`);
+      throw new ScenarioError(`${SERVICE_FILE}: not found in any folder above ${program}`);
   }
 }
 
-/** One process of the lab's own. */
+/** A child process with one role in the run: state service, cloud, workers or users. */
 export class LabProcess {
-  readonly use = new ProcessUse();
+  readonly usage = new ProcessUsage();
   readonly #child: ChildProcess;
-  #sampled: ((figures: Figures) => void) | null = null;
-  #ready: ((address: string) => void) | null = null;
-  figures: Figures | null = null;
+  #onSample: ((figures: Figures) => void) | null = null;
+  #onReady: ((address: string) => void) | null = null;
+  lastFigures: Figures | null = null;
 
   constructor(
     program: string,
     readonly assignment: Assignment,
-    readonly hear: (message: FromProcess) => void,
+    readonly onMessage: (message: FromProcess) => void,
   ) {
     this.#child = spawn(process.execPath, [program, "lab", "process"], {
       stdio: ["ignore", "ignore", "inherit", "ipc"],
     });
-    this.use.follow(this.#child.pid);
+    this.usage.track(this.#child.pid);
     this.#child.on("error", () => undefined);
     this.#child.on("message", (message: FromProcess) => {
       if (message.kind === "sampled") {
-        this.figures = message.figures;
-        this.#sampled?.(message.figures);
-      } else if (message.kind === "ready") this.#ready?.(message.address);
-      else this.hear(message);
+        this.lastFigures = message.figures;
+        this.#onSample?.(message.figures);
+      } else if (message.kind === "ready") this.#onReady?.(message.address);
+      else this.onMessage(message);
     });
   }
 
-  /** @returns its address */
-  begin(): Promise<string> {
+  /** @returns the address that the process serves on, "" if it does not serve */
+  start(): Promise<string> {
     const { role, region } = this.assignment;
     return new Promise((resolve, reject) => {
-      const late = setTimeout(
-        () => reject(new Error(`${role} of ${region.name} did not start in time`)),
-        START_MS,
+      const timeout = setTimeout(
+        () => reject(new Error(`process "${role}" of region ${region.name} did not start in time`)),
+        START_TIMEOUT_MS,
       );
-      this.#ready = (address) => {
-        clearTimeout(late);
+      this.#onReady = (address) => {
+        clearTimeout(timeout);
         resolve(address);
       };
       this.send({ kind: "begin", assignment: this.assignment });
@@ -85,41 +93,44 @@
     if (this.#child.connected) this.#child.send(message);
   }
 
-  /** Its figures now; those before, if it does not answer. */
+  /** Requests current figures; resolves with the last known ones if there is no answer in time. */
   sample(): Promise<Figures | null> {
     return new Promise((resolve) => {
-      const late = setTimeout(() => resolve(this.figures), SAMPLE_MS);
-      this.#sampled = (figures) => {
-        clearTimeout(late);
+      const sampleTimeout = setTimeout(() => resolve(this.lastFigures), SAMPLE_TIMEOUT_MS);
+      this.#onSample = (figures) => {
+        clearTimeout(sampleTimeout);
         resolve(figures);
       };
       this.send({ kind: "sample" });
     });
   }
 
-  end(): Promise<void> {
-    return endChild(this.#child);
+  kill(): Promise<void> {
+    return killChild(this.#child);
   }
 }
 
-/** One controller, which may be killed and started again. */
+/** A controller process, which may be killed and started again. */
 export class ControllerProcess {
-  readonly use = new ProcessUse();
+  readonly usage = new ProcessUsage();
   #child: ChildProcess | null = null;
-  #again: NodeJS.Timeout | null = null;
-  /** Why it ended by itself, each time that it did. */
-  readonly ends: string[] = [];
+  #restartTimer: NodeJS.Timeout | null = null;
+  /**
+   * One entry for each time it exited without being killed by the run: its name and exit code or
+   * signal.
+   */
+  readonly unexpectedExits: string[] = [];
 
   constructor(
     readonly name: string,
     readonly listen: string,
     readonly program: string,
     readonly command: ControllerCommand,
-    /** Files: its settings, and the operators' own. */
+    /** Files: the controller's settings, and the operators' settings if any. */
     readonly settings: string,
     readonly tuning: string | null,
-    /** After it has ended by itself, milliseconds. */
-    readonly backAfterMs: number,
+    /** Delay before it is restarted after an unexpected exit, milliseconds. */
+    readonly restartDelayMs: number,
   ) {}
 
   start(): void {
@@ -141,25 +152,25 @@
     child.on("error", () => undefined);
     child.once("exit", (code, signal) => {
       if (this.#child !== child) return;
-      this.ends.push(`${this.name} ended with ${signal ?? code}`);
-      this.use.sample();
-      // As on a real platform, it is back some seconds later.
-      this.#again = setTimeout(() => this.start(), this.backAfterMs);
+      this.unexpectedExits.push(`${this.name} ended with ${signal ?? code}`);
+      this.usage.sample();
+      // As on a real platform, a controller that exits is restarted some seconds later.
+      this.#restartTimer = setTimeout(() => this.start(), this.restartDelayMs);
     });
-    this.use.follow(child.pid);
+    this.usage.track(child.pid);
   }
 
-  /** Ends without a signal that it could act on. */
+  /** Kills the process with SIGKILL, which it cannot handle, and does not restart it. */
   kill(): Promise<void> {
-    this.use.sample();
-    if (this.#again !== null) clearTimeout(this.#again);
+    this.usage.sample();
+    if (this.#restartTimer !== null) clearTimeout(this.#restartTimer);
     const child = this.#child;
     this.#child = null;
-    return child === null ? Promise.resolve() : endChild(child);
+    return child === null ? Promise.resolve() : killChild(child);
   }
 }
 
-function endChild(child: ChildProcess): Promise<void> {
+function killChild(child: ChildProcess): Promise<void> {
   if (child.exitCode !== null || child.signalCode !== null || child.pid === undefined)
     return Promise.resolve();
   return new Promise((resolve) => {
--- a/src/lab/commands.ts
+++ b/src/lab/commands.ts
@@ -1,15 +1,15 @@
-/** `birchdale lab`: runs on this machine at the size that a file says. */
+/** `birchdale lab`: simulates deployments on this machine as described by scenario files. */
 import { writeFileSync } from "node:fs";
 import { Command } from "commander";
-import { serveRun } from "./process.js";
 import { tableOf } from "./results.js";
+import { runRoleProcess } from "./role-process.js";
 import { runScenario } from "./run.js";
 import { loadScenario, ScenarioError } from "./scenario.js";
 
-/** Wrong file or use of the command line. */
-const USAGE = 2;
-/** A rule was broken, or the run could not be brought to its end. */
-const FAILED = 1;
+/** Invalid scenario file or command line. */
+const USAGE_EXIT_CODE = 2;
+/** A rule was violated, or the run did not complete. */
+const FAILURE_EXIT_CODE = 1;
 
 interface RunCommandOptions {
   json?: string;
@@ -20,25 +20,28 @@
 export function labCommands(parent: Command, program: string): Command {
   const lab = new Command("lab")
     .copyInheritedSettings(parent)
-    .description("runs at scale on this machine, with hollow workers");
+    .description("simulate a deployment at scale on this machine, with hollow workers");
   lab
     .command("run")
-    .description("play a scenario, print what it took; progress goes to standard error")
+    .description("run a scenario and print its measurements; progress goes to standard error")
     .argument("<file>", "the scenario (TOML), such as deploy/small.lab.toml")
-    .option("--json <file>", "write the results as JSON, too")
-    .option("--set <path=value...>", "change fields of the file, such as teams.count=20")
+    .option("--json <file>", "also write the results as JSON")
+    .option("--set <path=value...>", "override fields of the file, such as teams.count=20")
     .option("--check", "only check the file")
     .action(async (file: string, options: RunCommandOptions) => {
       try {
         await run(file, options, program);
       } catch (error) {
         if (!(error instanceof ScenarioError)) throw error;
-        lab.error(`birchdale: ${error.message}`, { exitCode: USAGE, code: "lab.scenario" });
+        lab.error(`birchdale: ${error.message}`, {
+          exitCode: USAGE_EXIT_CODE,
+          code: "lab.scenario",
+        });
       }
     });
   lab.command("process", { hidden: true }).action(() => {
-    serveRun();
-    // For as long as the run that started it: it never returns.
+    runRoleProcess();
+    // Never resolves: the process exits when the run that started it disconnects.
     return new Promise(() => undefined);
   });
   return lab;
@@ -50,15 +53,16 @@
     process.stdout.write("ok\n");
     return;
   }
-  const stop = new AbortController();
-  for (const name of ["SIGINT", "SIGTERM"] as const) process.once(name, () => stop.abort());
-  const say = (text: string): void => {
+  const interrupt = new AbortController();
+  for (const name of ["SIGINT", "SIGTERM"] as const) process.once(name, () => interrupt.abort());
+  const onProgress = (text: string): void => {
     process.stderr.write(`${text}\n`);
   };
-  const results = await runScenario({ scenario, program, say }, stop.signal);
+  const results = await runScenario({ scenario, program, onProgress }, interrupt.signal);
   if (options.json !== undefined)
     writeFileSync(options.json, `${JSON.stringify(results, null, 1)}\n`);
   process.stdout.write(tableOf(results));
-  if (!results.complete) process.stdout.write("interrupted: what was measured until then\n");
-  if (results.violations.length > 0 || !results.complete) process.exitCode = FAILED;
+  if (!results.complete)
+    process.stdout.write("interrupted: the figures cover only the time until then\n");
+  if (results.violations.length > 0 || !results.complete) process.exitCode = FAILURE_EXIT_CODE;
 }
--- a/src/lab/history.ts
+++ b/src/lab/history.ts
@@ -1,6 +1,6 @@
 /**
- * The workers' history of a run: looks for broken rules (PROTOCOL, "Rules") and measures how long
- * jobs wait. Events of several processes come in batches, and are taken in the order of their time.
+ * History of all task starts and ends in a run: checks PROTOCOL's "Rules" and measures how long jobs
+ * wait. Several processes send batches of events; they are applied in the order of their times.
  */
 import { build, type Histogram } from "hdr-histogram-js";
 import { EPSILON } from "../fair/share.js";
@@ -20,28 +20,29 @@
   team: string;
   priority: Priority;
   cpus: number;
-  /** When it was submitted first, shared time. */
-  at: number;
-  beganAt: number | null;
+  /** When it was first submitted, shared time. */
+  submittedAt: number;
+  firstStartAt: number | null;
   started: Set<string>;
   running: Set<string>;
-  /** From then on nothing of it may run; null while it is not cancelled. */
-  goneBy: number | null;
+  /** When all its tasks must have stopped, shared time; null if it was not cancelled. */
+  mustStopBy: number | null;
 }
 
 export interface Waits {
-  /** Jobs submitted in the window, and milliseconds until the first task of each ran. */
+  /** Number of jobs submitted in the window. */
   jobs: number;
+  /** Milliseconds from submission to the start of each job's first task. */
   firstStarts: Histogram;
-  /** All first starts of their tasks. */
+  /** Milliseconds from submission to the first start of each task. */
   starts: Histogram;
 }
 
-const MOST_MS = 3_600_000;
+const MAX_WAIT_MS = 3_600_000;
 const newHistogram = (): Histogram =>
   build({
     lowestDiscernibleValue: 1,
-    highestTrackableValue: MOST_MS,
+    highestTrackableValue: MAX_WAIT_MS,
     numberOfSignificantValueDigits: 3,
   });
 
@@ -55,140 +56,155 @@
       { jobs: 0, firstStarts: newHistogram(), starts: newHistogram() },
     ]),
   );
-  /** Starts and ends in the window, and ends that are no completions, by cause. */
+  /** Task starts and ends in the window. */
   starts = 0;
   ends = 0;
+  /** Task ends in the window, by cause. */
   readonly causes = new Map<string, number>();
-  /** Starts of tasks that had been started before. */
-  repeated = 0;
+  /** Starts in the window of tasks that had been started before. */
+  repeatedStarts = 0;
   #window: { from: number; to: number } = { from: Number.POSITIVE_INFINITY, to: 0 };
   readonly #jobs = new Map<string, JobHistory>();
-  readonly #hosts = new Map<string, string>();
-  readonly #use = new Map<string, number>();
+  readonly #hostByTask = new Map<string, string>();
+  readonly #cpusByTeam = new Map<string, number>();
   readonly #cancelled: JobHistory[] = [];
-  readonly #sources = new Map<number, number>();
-  #pending: TimedEvent[] = [];
+  readonly #reportedUntil = new Map<number, number>();
+  #pendingEvents: TimedEvent[] = [];
 
   constructor(
-    /** CPUs that each team may use, in all regions together. */
+    /** CPU limit of each team over all regions. */
     readonly limits: ReadonlyMap<string, number>,
     readonly cancelMs: number,
     sources: number,
   ) {
-    for (let n = 0; n < sources; n++) this.#sources.set(n, 0);
+    for (let n = 0; n < sources; n++) this.#reportedUntil.set(n, 0);
   }
 
-  /** What is counted and timed from now on, shared time. */
-  measure(from: number, to: number): void {
+  /** Sets the measured window, shared time. */
+  setWindow(from: number, to: number): void {
     this.#window = { from, to };
   }
 
   get running(): number {
-    return this.#hosts.size;
+    return this.#hostByTask.size;
   }
 
-  submitted(id: string, job: Pick<JobHistory, "team" | "priority" | "cpus" | "at">): void {
+  submitted(id: string, job: Pick<JobHistory, "team" | "priority" | "cpus" | "submittedAt">): void {
     const history: JobHistory = {
       ...job,
-      beganAt: null,
+      firstStartAt: null,
       started: new Set(),
       running: new Set(),
-      goneBy: null,
+      mustStopBy: null,
     };
     this.#jobs.set(id, history);
-    if (this.#counts(job.at)) this.waits.get(job.priority)!.jobs++;
+    if (this.#inWindow(job.submittedAt)) this.waits.get(job.priority)!.jobs++;
   }
 
   cancelled(id: string, at: number): void {
     const job = this.#jobs.get(id);
-    if (job === undefined || job.goneBy !== null) return;
-    job.goneBy = at + this.cancelMs;
+    if (job === undefined || job.mustStopBy !== null) return;
+    job.mustStopBy = at + this.cancelMs;
     this.#cancelled.push(job);
   }
 
-  /** Events of one source, which has told all that it had until `until`. */
+  /** Adds events of one source, which has now reported all its events up to `until`. */
   add(source: number, events: readonly TimedEvent[], until: number): void {
-    this.#pending.push(...events);
-    this.#sources.set(source, until);
-    const known = Math.min(...this.#sources.values());
-    const ripe = this.#pending.filter(({ at }) => at <= known);
-    if (ripe.length === 0) return;
-    this.#pending = this.#pending.filter(({ at }) => at > known);
-    ripe.sort((a, b) => a.at - b.at);
-    for (const event of ripe) this.#take(event);
-    this.#checkCancelled(known);
+    this.#pendingEvents.push(...events);
+    this.#reportedUntil.set(source, until);
+    const completeUntil = Math.min(...this.#reportedUntil.values());
+    const ready = this.#pendingEvents.filter(({ at }) => at <= completeUntil);
+    if (ready.length === 0) return;
+    this.#pendingEvents = this.#pendingEvents.filter(({ at }) => at > completeUntil);
+    ready.sort((a, b) => a.at - b.at);
+    for (const event of ready) this.#apply(event);
+    this.#checkCancelled(completeUntil);
   }
 
-  #counts(at: number): boolean {
+  #inWindow(at: number): boolean {
     return at >= this.#window.from && at < this.#window.to;
   }
 
-  #take(event: TimedEvent): void {
+  #apply(event: TimedEvent): void {
     const job = this.#jobs.get(jobOf(event.piece));
     if (job === undefined) return;
-    if (event.kind === "started") this.#started(job, event);
-    else this.#ended(job, event);
+    if (event.kind === "started") this.#onStarted(job, event);
+    else this.#onEnded(job, event);
   }
 
-  #started(job: JobHistory, { piece, host, at }: TimedEvent): void {
-    const other = this.#hosts.get(piece);
-    if (other !== undefined) this.#broken("ran_twice", at, `${piece} on ${host}, also on ${other}`);
-    if (job.goneBy !== null && at > job.goneBy) this.#broken("ran_cancelled", at, piece);
-    this.#hosts.set(piece, host);
+  #onStarted(job: JobHistory, { piece, host, at }: TimedEvent): void {
+    const otherHost = this.#hostByTask.get(piece);
+    if (otherHost !== undefined)
+      this.#addViolation("ran_twice", at, `${piece} on ${host}, also on ${otherHost}`);
+    if (job.mustStopBy !== null && at > job.mustStopBy)
+      this.#addViolation("ran_cancelled", at, piece);
+    this.#hostByTask.set(piece, host);
     job.running.add(piece);
-    const use = (this.#use.get(job.team) ?? 0) + job.cpus;
-    this.#use.set(job.team, use);
+    const use = (this.#cpusByTeam.get(job.team) ?? 0) + job.cpus;
+    this.#cpusByTeam.set(job.team, use);
     const limit = this.limits.get(job.team) ?? 0;
-    if (use > limit + EPSILON) this.#broken("quota", at, `${job.team} uses ${use} of ${limit}`);
-    this.#time(job, piece, at);
+    if (use > limit + EPSILON)
+      this.#addViolation("quota", at, `${job.team} uses ${use} of ${limit}`);
+    this.#recordStart(job, piece, at);
   }
 
-  #time(job: JobHistory, piece: string, at: number): void {
-    if (this.#counts(at)) this.starts++;
+  #recordStart(job: JobHistory, piece: string, at: number): void {
+    if (this.#inWindow(at)) this.starts++;
     if (job.started.has(piece)) {
-      if (this.#counts(at)) this.repeated++;
+      if (this.#inWindow(at)) this.repeatedStarts++;
       return;
     }
     job.started.add(piece);
-    const first = job.beganAt === null;
-    job.beganAt ??= at;
+    const isFirstTask = job.firstStartAt === null;
+    job.firstStartAt ??= at;
     const waits = this.waits.get(job.priority)!;
-    const waitedMs = Math.min(MOST_MS, Math.max(1, Math.round(at - job.at)));
-    if (!this.#counts(job.at)) return;
+    const waitedMs = Math.min(MAX_WAIT_MS, Math.max(1, Math.round(at - job.submittedAt)));
+    if (!this.#inWindow(job.submittedAt)) return;
     waits.starts.recordValue(waitedMs);
-    if (first) waits.firstStarts.recordValue(waitedMs);
+    if (isFirstTask) waits.firstStarts.recordValue(waitedMs);
   }
 
-  #ended(job: JobHistory, { piece, host, at, cause }: TimedEvent): void {
-    if (this.#hosts.get(piece) !== host) return;
-    this.#hosts.delete(piece);
+  #onEnded(job: JobHistory, { piece, host, at, cause }: TimedEvent): void {
+    if (this.#hostByTask.get(piece) !== host) return;
+    this.#hostByTask.delete(piece);
     job.running.delete(piece);
-    this.#use.set(job.team, (this.#use.get(job.team) ?? 0) - job.cpus);
-    if (!this.#counts(at)) return;
+    this.#cpusByTeam.set(job.team, (this.#cpusByTeam.get(job.team) ?? 0) - job.cpus);
+    if (!this.#inWindow(at)) return;
     this.ends++;
-    const shown = cause === "stopped" && job.goneBy !== null ? "cancelled" : cause;
-    this.causes.set(shown, (this.causes.get(shown) ?? 0) + 1);
+    const reportedCause = cause === "stopped" && job.mustStopBy !== null ? "cancelled" : cause;
+    this.causes.set(reportedCause, (this.causes.get(reportedCause) ?? 0) + 1);
   }
 
   #checkCancelled(now: number): void {
     for (const job of this.#cancelled) {
-      if (job.goneBy! >= now || job.running.size === 0) continue;
-      this.#broken("ran_cancelled", now, [...job.running].join(" "));
+      if (job.mustStopBy! >= now || job.running.size === 0) continue;
+      this.#addViolation("ran_cancelled", now, [...job.running].join(" "));
       job.running.clear();
     }
   }
 
-  #broken(rule: BrokenRule, at: number, detail: string): void {
+  #addViolation(rule: BrokenRule, at: number, detail: string): void {
     this.violations.push({ rule, at, detail });
   }
 
-  /** Of the jobs that came at least `withinMs` before the end, the share that had begun by then. */
+  /**
+   * Jobs submitted at least `withinMs` before the window's end, and the share that started within
+   * `withinMs`.
+   */
   begunWithin(priority: Priority, withinMs: number): { jobs: number; share: number } {
-    const asked = [...this.#jobs.values()].filter(
+    const candidates = [...this.#jobs.values()].filter(
       (job) =>
-        job.priority === priority && this.#counts(job.at) && job.at + withinMs <= this.#window.to,
+        job.priority === priority &&
+        this.#inWindow(job.submittedAt) &&
+        job.submittedAt + withinMs <= this.#window.to,
+    );
+    const begun = candidates.filter(
+      ({ submittedAt, firstStartAt }) =>
+        firstStartAt !== null && firstStartAt - submittedAt <= withinMs,
     );
-    const begun = asked.filter(({ at, beganAt }) => beganAt !== null && beganAt - at <= withinMs);
-    return { jobs: asked.length, share: asked.length === 0 ? 1 : begun.length / asked.length };
+    return {
+      jobs: candidates.length,
+      share: candidates.length === 0 ? 1 : begun.length / candidates.length,
+    };
   }
 }
--- a/src/lab/hollow-workers.ts
+++ b/src/lab/hollow-workers.ts
@@ -1,9 +1,11 @@
-/** A process of hollow workers: each speaks PROTOCOL for itself, and its tasks only take their time. */
+/**
+ * A process that runs many hollow workers. Each implements PROTOCOL on its own connection, but its
+ * tasks only wait for their run time.
+ */
 import { subscribe } from "node:diagnostics_channel";
 import type { Socket } from "node:net";
 import { type Clock, systemClock } from "../clock.js";
 import { type CloudType, type Host, type Uploaded, Worker } from "../local/index.js";
-import { Draw } from "./draw.js";
 import {
   type Assignment,
   type Figures,
@@ -12,23 +14,24 @@
   type TimedEvent,
   type ToProcess,
 } from "./messages.js";
-import type { RoleProcess } from "./services.js";
+import { RandomSource } from "./random-source.js";
+import type { RoleProcess } from "./stand-in-processes.js";
 
-/** Clouds of different regions give the same names. */
+/** Unique key of a host: clouds of different regions assign the same uids. */
 export const hostKey = ({ region, uid }: { region: string; uid: string }): string =>
   `${region}/${uid}`;
 
-/** How often events are told on. */
-const FLUSH_MS = 100;
+/** How often events are sent to the run. */
+const FLUSH_INTERVAL_MS = 100;
 
-/** Bytes of all connections that this process opens or takes. */
-class SocketBytes {
+/** Counts the bytes of all connections that this process opens or accepts. */
+class SocketTraffic {
   readonly #open = new Set<Socket>();
   #read = 0;
   #written = 0;
 
   constructor() {
-    const follow = (message: unknown): void => {
+    const track = (message: unknown): void => {
       const { socket } = message as { socket: Socket };
       this.#open.add(socket);
       socket.once("close", () => {
@@ -37,8 +40,8 @@
         this.#written += socket.bytesWritten;
       });
     };
-    subscribe("net.client.socket", follow);
-    subscribe("net.server.socket", follow);
+    subscribe("net.client.socket", track);
+    subscribe("net.server.socket", track);
   }
 
   total(): { read: number; written: number } {
@@ -55,35 +58,35 @@
 export class HollowWorkers implements RoleProcess {
   readonly #workers = new Map<string, Worker>();
   readonly #jobs = new Map<string, Uploaded>();
-  readonly #saved = new Map<string, number | "done">();
-  readonly #bytes = new SocketBytes();
-  readonly #draw: Draw;
+  readonly #savedProgress = new Map<string, number | "done">();
+  readonly #traffic = new SocketTraffic();
+  readonly #randomSource: RandomSource;
   #events: TimedEvent[] = [];
   #reports = 0;
-  #refused = 0;
+  #refusedReports = 0;
 
   constructor(
     readonly assignment: Assignment,
     readonly send: (message: FromProcess) => void,
     readonly clock: Clock = systemClock,
   ) {
-    this.#draw = new Draw(assignment.seed);
+    this.#randomSource = new RandomSource(assignment.seed);
   }
 
   async start(): Promise<string> {
-    setInterval(() => this.#flush(), FLUSH_MS);
+    setInterval(() => this.#flush(), FLUSH_INTERVAL_MS);
     return "";
   }
 
   #flush(): void {
     const events = this.#events;
     this.#events = [];
-    // Also without events: it says that there are none until now.
+    // Sent even without events, so that the run knows that there are none up to now.
     this.send({ kind: "events", events, until: sharedNow() });
   }
 
-  take(message: ToProcess): void {
-    if (message.kind === "boot") void this.#boot(message.region, message.host, message.type);
+  onMessage(message: ToProcess): void {
+    if (message.kind === "boot") void this.#startWorker(message.region, message.host, message.type);
     else if (message.kind === "restart") this.#workers.get(hostKey(message))?.restart();
     else if (message.kind === "job") this.#jobs.set(message.job.uid, message.job);
     else if (message.kind === "gone") {
@@ -93,7 +96,7 @@
     }
   }
 
-  async #boot(region: string, host: Host, type: CloudType): Promise<void> {
+  async #startWorker(region: string, host: Host, type: CloudType): Promise<void> {
     const { scenario, nodes } = this.assignment;
     const { report_s, lease_s } = scenario.workers;
     const key = hostKey({ region, uid: host.uid });
@@ -106,13 +109,13 @@
       leaseMs: lease_s * 1000,
       commands: false,
       jobOf: (uid) => this.#jobs.get(uid),
-      savedProgress: this.#saved,
+      savedProgress: this.#savedProgress,
       onTaskEvent: (event) => this.#events.push({ ...event, host: key, at: sharedNow() }),
       onReportAnswered: (status) => {
         this.#reports++;
-        if (status !== 200) this.#refused++;
+        if (status !== 200) this.#refusedReports++;
       },
-      random: this.#draw.random,
+      random: this.#randomSource.random,
     });
     this.#workers.set(key, worker);
     const address = await worker.start();
@@ -124,11 +127,11 @@
     for (const worker of this.#workers.values()) {
       for (const { status } of worker.tasks.values()) if (status !== "ended") tasks++;
     }
-    const { read, written } = this.#bytes.total();
+    const { read, written } = this.#traffic.total();
     const traffic = {
       workers: this.#workers.size,
       reports: this.#reports,
-      refused: this.#refused,
+      refused: this.#refusedReports,
       bytesOut: written,
       bytesIn: read,
     };
--- a/src/lab/index.ts
+++ b/src/lab/index.ts
@@ -1,6 +1,7 @@
 /**
- * Runs at scale on one machine: real controllers, hollow workers that share processes, and the
- * stand-ins of `birchdale/local` in processes of their own. Loaded only by `birchdale lab`.
+ * Simulates deployments at scale on one machine: real controllers, hollow workers that share
+ * processes, and the stand-ins of `birchdale/local` in separate processes. Loaded only by
+ * `birchdale lab`.
  */
 export { labCommands } from "./commands.js";
 export { History, type Violation } from "./history.js";
--- a/src/lab/messages.ts
+++ b/src/lab/messages.ts
@@ -1,4 +1,4 @@
-/** What the run and its processes tell each other, as JSON over Node's channel to a child. */
+/** Messages between the run and its child processes, sent as JSON over Node's IPC channel. */
 import type { CloudType, Host, StateUse, TaskEvent, Uploaded } from "../local/index.js";
 import type { Team } from "../settings/settings.js";
 import type { Priority } from "../wire/jobs.js";
@@ -6,30 +6,32 @@
 
 export type Role = "state" | "cloud" | "workers" | "users";
 
-/** Milliseconds of a clock that all processes of one machine share. */
+/** "Shared time": milliseconds of the monotonic clock, which all processes of a machine share. */
 export const sharedNow = (): number => Number(process.hrtime.bigint()) / 1e6;
 
-/** A task's start or end on a hollow worker, with the shared time; its host as `region/name`. */
+/**
+ * A task's start or end on a hollow worker, at a shared time; its host is given as `region/uid`.
+ */
 export type TimedEvent = TaskEvent & { at: number };
 
-/** What a process of the lab begins with. */
+/** Parameters of a child process. */
 export interface Assignment {
   role: Role;
   scenario: Scenario;
   region: Region;
   zones: string[];
-  /** Seeds the process's own draws. */
+  /** Seed of the process's random values. */
   seed: number;
-  /** Addresses of controllers by name; of this region, or for workers by region. */
+  /** Addresses of controllers, by region and name. */
   nodes: Record<string, Record<string, string>>;
   teams: Team[];
 }
 
-/** Use of the network by one process's hollow workers, since it began. */
+/** Network use of one process's hollow workers since the process started. */
 export interface WorkerTraffic {
   workers: number;
   reports: number;
-  /** Reports answered by something other than 200. */
+  /** Reports that got an answer other than 200, or none. */
   refused: number;
   bytesOut: number;
   bytesIn: number;
@@ -40,12 +42,12 @@
   accepted: number;
   done: number;
   cancelled: number;
-  /** Submissions without an answer in the time that PROTOCOL gives them. */
+  /** Jobs whose submission or polling failed, such as for want of an answer in PROTOCOL's time. */
   failed: number;
   open: number;
 }
 
-export const noCounts = (): UserCounts => ({
+export const emptyUserCounts = (): UserCounts => ({
   submitted: 0,
   accepted: 0,
   done: 0,
@@ -54,10 +56,12 @@
   open: 0,
 });
 
-/** When a change of configuration was asked for, and how long until all decided by it. */
+/**
+ * When a configuration change was requested, and how long until all owners of parts decided by it.
+ */
 export interface ConfigurationDelay {
   committedAt: number;
-  /** Null: not all do yet. */
+  /** Null while some owner of a part does not decide by it yet. */
   inForceMs: number | null;
 }
 
--- a/src/lab/platform.ts
+++ b/src/lab/platform.ts
@@ -1,4 +1,4 @@
-/** All processes of a run, started in order, wired to each other, and ended whatever happens. */
+/** Starts all processes of a run in order, forwards messages between them, and ends them. */
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
@@ -7,16 +7,16 @@
 import { freePort, type NodeAddresses, settingsText } from "../local/index.js";
 import { hash } from "../membership/layout.js";
 import type { Team } from "../settings/settings.js";
-import { ControllerProcess, controllerCommand, LabProcess } from "./children.js";
+import { ControllerProcess, controllerCommand, LabProcess } from "./child-processes.js";
 import type { History } from "./history.js";
 import { hostKey } from "./hollow-workers.js";
 import type { Assignment, FromProcess, Role } from "./messages.js";
 import { type Region, type Scenario, teamNames } from "./scenario.js";
 
-const READY_MS = 30_000;
-const PROBE_MS = 200;
+const READY_TIMEOUT_MS = 30_000;
+const PROBE_INTERVAL_MS = 200;
 
-/** One region's processes. */
+/** The processes of one region. */
 interface RegionProcesses {
   region: Region;
   state: LabProcess;
@@ -25,7 +25,9 @@
   controllers: ControllerProcess[];
 }
 
-/** What a region holds of each team's guarantee and limit: as much as it has of the machines. */
+/**
+ * A region's share of each team's guarantee and limit, in proportion to its share of the machines.
+ */
 export function regionalTeams(scenario: Scenario, region: Region): Team[] {
   const { teams, regions } = scenario;
   const machines = regions.reduce((sum, one) => sum + one.machines, 0);
@@ -41,83 +43,88 @@
 
 export class LabPlatform {
   readonly regions: RegionProcesses[] = [];
-  readonly workers: LabProcess[] = [];
-  /** Machines that are up, as `region/name`. */
-  readonly up = new Set<string>();
+  readonly workerProcesses: LabProcess[] = [];
+  /** Machines that are running, as `region/uid`. */
+  readonly runningMachines = new Set<string>();
   readonly #folder = mkdtempSync(join(tmpdir(), "birchdale-lab-"));
-  readonly #nodes: Record<string, Record<string, string>> = {};
-  #seeds = 0;
+  readonly #nodeAddresses: Record<string, Record<string, string>> = {};
+  #seedsUsed = 0;
 
   constructor(
     readonly scenario: Scenario,
-    /** The program that all processes run. */
+    /** Path of the program that all processes run. */
     readonly program: string,
     readonly history: History,
   ) {}
 
   get processes(): LabProcess[] {
     const own = this.regions.flatMap(({ state, cloud, users }) => [state, cloud, users]);
-    return [...own, ...this.workers];
+    return [...own, ...this.workerProcesses];
   }
 
   get controllers(): ControllerProcess[] {
     return this.regions.flatMap(({ controllers }) => controllers);
   }
 
-  /** @throws Error when a process does not start, or no controller of a region serves in time */
+  /**
+   * @throws Error when a process does not start, or no controller of a region is healthy in time
+   */
   async start(): Promise<void> {
     const { scenario } = this;
     for (const region of scenario.regions) {
-      const [state, cloud] = [this.#process("state", region), this.#process("cloud", region)];
-      const nodes = await this.#nodesOf(region);
-      this.#nodes[region.name] = Object.fromEntries(
+      const [state, cloud] = [
+        this.#createProcess("state", region),
+        this.#createProcess("cloud", region),
+      ];
+      const nodes = await this.#allocateNodes(region);
+      this.#nodeAddresses[region.name] = Object.fromEntries(
         nodes.map(({ name, listen }) => [name, listen]),
       );
-      const users = this.#process("users", region);
+      const users = this.#createProcess("users", region);
       this.regions.push({ region, state, cloud, users, controllers: [] });
-      const addresses = { state: await state.begin(), cloud: await cloud.begin() };
-      this.regions.at(-1)!.controllers = this.#controllers(region, nodes, addresses);
+      const addresses = { state: await state.start(), cloud: await cloud.start() };
+      this.regions.at(-1)!.controllers = this.#createControllers(region, nodes, addresses);
     }
     for (let n = 0; n < scenario.workers.processes; n++) {
       const index = n;
-      const process = this.#process("workers", scenario.regions[0]!, (message) =>
-        this.#hearWorkers(index, message),
+      const process = this.#createProcess("workers", scenario.regions[0]!, (message) =>
+        this.#onWorkerMessage(index, message),
       );
-      this.workers.push(process);
+      this.workerProcesses.push(process);
     }
     for (const controller of this.controllers) controller.start();
-    await Promise.all(this.workers.map((one) => one.begin()));
-    await Promise.all(this.regions.map(({ users }) => users.begin()));
-    await Promise.all(this.regions.map((one) => this.#ready(one)));
+    await Promise.all(this.workerProcesses.map((one) => one.start()));
+    await Promise.all(this.regions.map(({ users }) => users.start()));
+    await Promise.all(this.regions.map((one) => this.#waitUntilReady(one)));
   }
 
-  /** Machines boot and users come. */
-  go(): void {
+  /** Starts the initial machines and the users' submissions. */
+  startLoad(): void {
     for (const { cloud, users } of this.regions) {
       cloud.send({ kind: "go" });
       users.send({ kind: "go" });
     }
   }
 
-  async end(): Promise<void> {
+  async stop(): Promise<void> {
     await Promise.all(this.controllers.map((one) => one.kill()));
-    await Promise.all(this.processes.map((one) => one.end()));
+    await Promise.all(this.processes.map((one) => one.kill()));
     rmSync(this.#folder, { recursive: true, force: true });
   }
 
-  /** The process that runs a machine's worker. */
-  workersOf(key: string): LabProcess {
-    return this.workers[hash(key) % this.workers.length]!;
+  /** Process that runs the worker of the machine `key` (`region/uid`). */
+  workerProcessOf(key: string): LabProcess {
+    return this.workerProcesses[hash(key) % this.workerProcesses.length]!;
   }
 
   regionOf(name: string): RegionProcesses {
     return this.regions.find(({ region }) => region.name === name)!;
   }
 
-  #process(
+  #createProcess(
     role: Role,
     region: Region,
-    hear: (message: FromProcess) => void = (message) => this.#hear(region, message),
+    onMessage: (message: FromProcess) => void = (message) => this.#onMessage(region, message),
   ): LabProcess {
     const { scenario } = this;
     const zones = scenario.zones.filter((one) => one.region === region.name);
@@ -126,14 +133,14 @@
       scenario,
       region,
       zones: zones.map(({ name }) => name),
-      seed: scenario.seed * 1000 + this.#seeds++,
-      nodes: this.#nodes,
+      seed: scenario.seed * 1000 + this.#seedsUsed++,
+      nodes: this.#nodeAddresses,
       teams: regionalTeams(scenario, region),
     };
-    return new LabProcess(this.program, assignment, hear);
+    return new LabProcess(this.program, assignment, onMessage);
   }
 
-  async #nodesOf(region: Region): Promise<NodeAddresses[]> {
+  async #allocateNodes(region: Region): Promise<NodeAddresses[]> {
     const zones = this.scenario.zones.filter((one) => one.region === region.name);
     const nodes: NodeAddresses[] = [];
     for (let n = 0; n < region.controllers; n++) {
@@ -147,7 +154,7 @@
     return nodes;
   }
 
-  #controllers(
+  #createControllers(
     region: Region,
     nodes: readonly NodeAddresses[],
     services: { state: string; cloud: string },
@@ -196,47 +203,47 @@
     });
   }
 
-  async #ready({ region, controllers }: RegionProcesses): Promise<void> {
-    const until = systemClock.now() + READY_MS;
+  async #waitUntilReady({ region, controllers }: RegionProcesses): Promise<void> {
+    const deadline = systemClock.now() + READY_TIMEOUT_MS;
     const clients = controllers.map(({ listen }) => new HttpClient(listen, 1, systemClock));
     try {
-      while (systemClock.now() < until) {
-        const [end] = controllers.flatMap(({ ends }) => ends);
-        if (end !== undefined) throw new Error(end);
+      while (systemClock.now() < deadline) {
+        const [exit] = controllers.flatMap(({ unexpectedExits }) => unexpectedExits);
+        if (exit !== undefined) throw new Error(exit);
         for (const client of clients) {
           const answer = await client
-            .call("GET", "/healthz", undefined, PROBE_MS * 5)
+            .call("GET", "/healthz", undefined, PROBE_INTERVAL_MS * 5)
             .catch(() => null);
           if (answer?.status === 200) return;
         }
-        await sleep(systemClock, PROBE_MS);
+        await sleep(systemClock, PROBE_INTERVAL_MS);
       }
     } finally {
       for (const client of clients) client.close();
     }
-    throw new Error(`no controller of ${region.name} is ready in time`);
+    throw new Error(`no controller of region ${region.name} became healthy in time`);
   }
 
-  #hear(region: Region, message: FromProcess): void {
+  #onMessage(region: Region, message: FromProcess): void {
     const { name } = region;
     switch (message.kind) {
       case "up": {
         const { host, type } = message;
         const key = hostKey({ region: name, uid: host.uid });
-        this.up.add(key);
-        this.workersOf(key).send({ kind: "boot", region: name, host, type });
+        this.runningMachines.add(key);
+        this.workerProcessOf(key).send({ kind: "boot", region: name, host, type });
         break;
       }
       case "gone": {
         const key = hostKey({ region: name, uid: message.uid });
-        this.up.delete(key);
-        this.workersOf(key).send({ kind: "gone", region: name, uid: message.uid });
+        this.runningMachines.delete(key);
+        this.workerProcessOf(key).send({ kind: "gone", region: name, uid: message.uid });
         break;
       }
       case "submits": {
         const { job, team, priority, at } = message;
-        for (const process of this.workers) process.send({ kind: "job", job });
-        this.history.submitted(job.uid, { team, priority, cpus: job.cores, at });
+        for (const process of this.workerProcesses) process.send({ kind: "job", job });
+        this.history.submitted(job.uid, { team, priority, cpus: job.cores, submittedAt: at });
         break;
       }
       case "cancelled":
@@ -245,7 +252,7 @@
     }
   }
 
-  #hearWorkers(index: number, message: FromProcess): void {
+  #onWorkerMessage(index: number, message: FromProcess): void {
     if (message.kind === "events") this.history.add(index, message.events, message.until);
     else if (message.kind === "address") {
       const { region, uid, address } = message;
--- a/src/lab/resources.ts
+++ b/src/lab/process-usage.ts
@@ -1,26 +1,29 @@
-/** Processor time, memory and bytes of processes, as Linux counts them (proc(5)). */
+/** CPU time, memory and I/O bytes of processes, as Linux counts them (proc(5)). */
 import { readFileSync } from "node:fs";
 
-/** Of one process since it began; memory now. */
+/** Totals of a process since its start, and its current memory. */
 export interface Resources {
   cpuS: number;
   residentMb: number;
-  /** Bytes of all reads and writes: for a controller, which has no disk, those of its sockets. */
+  /** Bytes of all reads and writes; for a controller, which uses no disk, those of its sockets. */
   bytesIn: number;
   bytesOut: number;
 }
 
-/** Ticks a second of the times in /proc; fixed for all architectures of Linux. */
+/** Clock ticks a second of the times in /proc; the same on all Linux architectures. */
 const TICKS_PER_S = 100;
 const KB_PER_MB = 1024;
-/** Places of utime and stime behind the name in `stat`, which may itself contain spaces. */
-const USER_TIME = 11;
-const SYSTEM_TIME = 12;
+/**
+ * Indexes of utime and stime among the fields after the command name in `stat`; the name may
+ * contain spaces.
+ */
+const UTIME_FIELD = 11;
+const STIME_FIELD = 12;
 
 const field = (text: string, name: string): number =>
   Number(new RegExp(`^${name}:\\s*(\\d+)`, "m").exec(text)?.[1] ?? 0);
 
-/** Null when the process is gone. */
+/** Resources of a process, or null if it does not exist. */
 export function resourcesOf(pid: number): Resources | null {
   try {
     const stat = readFileSync(`/proc/${pid}/stat`, "utf8");
@@ -28,7 +31,7 @@
     const io = readFileSync(`/proc/${pid}/io`, "utf8");
     const status = readFileSync(`/proc/${pid}/status`, "utf8");
     return {
-      cpuS: (Number(fields[USER_TIME]) + Number(fields[SYSTEM_TIME])) / TICKS_PER_S,
+      cpuS: (Number(fields[UTIME_FIELD]) + Number(fields[STIME_FIELD])) / TICKS_PER_S,
       residentMb: field(status, "VmRSS") / KB_PER_MB,
       bytesIn: field(io, "rchar"),
       bytesOut: field(io, "wchar"),
@@ -38,20 +41,23 @@
   }
 }
 
-/** Follows one role's process, which may be started anew. */
-export class ProcessUse {
-  #before = { cpuS: 0, bytesIn: 0, bytesOut: 0 };
+/**
+ * Sums the resources of successive processes of one role: a process may be restarted under a new
+ * pid.
+ */
+export class ProcessUsage {
+  #earlier = { cpuS: 0, bytesIn: 0, bytesOut: 0 };
   #last: Resources | null = null;
   #pid: number | null = null;
-  /** The most memory seen, MB. */
+  /** Largest resident memory sampled, MB. */
   peakMb = 0;
 
-  follow(pid: number | undefined): void {
+  track(pid: number | undefined): void {
     const { cpuS = 0, bytesIn = 0, bytesOut = 0 } = this.#last ?? {};
-    this.#before = {
-      cpuS: this.#before.cpuS + cpuS,
-      bytesIn: this.#before.bytesIn + bytesIn,
-      bytesOut: this.#before.bytesOut + bytesOut,
+    this.#earlier = {
+      cpuS: this.#earlier.cpuS + cpuS,
+      bytesIn: this.#earlier.bytesIn + bytesIn,
+      bytesOut: this.#earlier.bytesOut + bytesOut,
     };
     this.#last = null;
     this.#pid = pid ?? null;
@@ -63,10 +69,10 @@
     const { cpuS = 0, residentMb = 0, bytesIn = 0, bytesOut = 0 } = this.#last ?? {};
     this.peakMb = Math.max(this.peakMb, residentMb);
     return {
-      cpuS: this.#before.cpuS + cpuS,
+      cpuS: this.#earlier.cpuS + cpuS,
       residentMb,
-      bytesIn: this.#before.bytesIn + bytesIn,
-      bytesOut: this.#before.bytesOut + bytesOut,
+      bytesIn: this.#earlier.bytesIn + bytesIn,
+      bytesOut: this.#earlier.bytesOut + bytesOut,
     };
   }
 }
--- a/src/lab/results.ts
+++ b/src/lab/results.ts
@@ -1,4 +1,4 @@
-/** What a run measured: one JSON document, and the same as a table for people. */
+/** Results of a run: a JSON document, and the same as a text table. */
 import { cpus } from "node:os";
 import type { Histogram } from "hdr-histogram-js";
 import type { Priority } from "../wire/jobs.js";
@@ -6,23 +6,24 @@
 import type { ConfigurationDelay, Figures, UserCounts } from "./messages.js";
 import type { Scenario } from "./scenario.js";
 
-/** All processes of one role over the measured window. */
+/** Resource use of all processes of one role over the measured window. */
 export interface RoleFigures {
   role: string;
   processes: number;
-  /** Shares of a core: of all its processes, and of the one that took most. */
+  /** CPU use in cores, of all processes together. */
   cores: number;
+  /** CPU use of the process that used most. */
   mostCores: number;
-  /** Of the largest process, MB. */
+  /** Peak resident memory of the largest process, MB. */
   residentMb: number;
   heapMb: number | null;
-  /** What it was asked, a second; null where nobody counts. */
+  /** Requests received a second; null where they are not counted. */
   requestsPerS: number | null;
   kbInPerS: number;
   kbOutPerS: number;
 }
 
-/** One controller over the window, and what it was at its end. */
+/** A controller's CPU use over the window, and its memory, leadership and parts at the end. */
 export interface ControllerFigures {
   name: string;
   cores: number;
@@ -31,7 +32,7 @@
   parts: number;
 }
 
-/** Milliseconds. */
+/** Distribution of delays, milliseconds. */
 export interface Delays {
   count: number;
   p50: number;
@@ -44,11 +45,13 @@
   jobs: number;
   jobStart: Delays;
   taskStart: Delays;
-  /** Of those submitted at least 7 s before the end. */
+  /**
+   * Of the jobs submitted at least 7 s before the window's end, the share that started within 7 s.
+   */
   begunWithin7s: { jobs: number; share: number };
 }
 
-/** One region's state service, a second over the window, but for what it keeps. */
+/** A region's state service: rates and counts over the window; keys and their size at its end. */
 export interface StateResults {
   region: string;
   requestsPerS: number;
@@ -61,7 +64,7 @@
   kbKept: number;
 }
 
-/** What a worker spends on control, in the mean over all workers and the window. */
+/** Control overhead of a worker, as the mean over all workers and the window. */
 export interface WorkerResults {
   workers: number;
   tasksPerWorker: number;
@@ -69,7 +72,7 @@
   refusedReportsShare: number;
   bytesOutPerS: number;
   bytesInPerS: number;
-  /** Of its process, divided by the workers that share it. */
+  /** CPU and memory of the workers' processes, divided by the number of workers. */
   cores: number;
   mb: number;
 }
@@ -78,7 +81,7 @@
   label: string;
   scenario: Scenario;
   machine: { cores: number; model: string; node: string };
-  /** Whether the run came to the end of its window. */
+  /** Whether the run reached the end of its window without being interrupted. */
   complete: boolean;
   windowS: number;
   roles: RoleFigures[];
@@ -94,7 +97,7 @@
   jobs: UserCounts;
   priorities: Partial<Record<Priority, PriorityResults>>;
   state: StateResults[];
-  /** Of all regions; each has its own revisions. */
+  /** Configuration changes of all regions; each region has its own revisions. */
   configuration: {
     changes: number;
     notInForce: number;
@@ -102,7 +105,7 @@
     inForceMs: Delays;
   } | null;
   violations: Violation[];
-  /** Controllers that ended by themselves, and how. */
+  /** Controllers that exited without being killed by the run, with exit code or signal. */
   controllerEnds: string[];
 }
 
@@ -114,7 +117,7 @@
   max: histogram.maxValue,
 });
 
-const URGENT_MS = 7000;
+const BEGUN_WITHIN_MS = 7000;
 
 export function prioritiesOf(history: History): LabResults["priorities"] {
   const results: LabResults["priorities"] = {};
@@ -124,7 +127,7 @@
       jobs,
       jobStart: delaysOf(firstStarts),
       taskStart: delaysOf(starts),
-      begunWithin7s: history.begunWithin(priority, URGENT_MS),
+      begunWithin7s: history.begunWithin(priority, BEGUN_WITHIN_MS),
     };
   }
   return results;
@@ -143,20 +146,20 @@
   after: Figures | null,
   seconds: number,
 ): StateResults {
-  const [from] = figuresOf("state", [before]);
-  const [to] = figuresOf("state", [after]);
-  const diff = (name: keyof FiguresOf<"state">["use"]): number =>
-    (to?.use[name] ?? 0) - (from?.use[name] ?? 0);
+  const [first] = figuresOf("state", [before]);
+  const [last] = figuresOf("state", [after]);
+  const increase = (name: keyof FiguresOf<"state">["use"]): number =>
+    (last?.use[name] ?? 0) - (first?.use[name] ?? 0);
   return {
     region,
-    requestsPerS: diff("requests") / seconds,
-    changesPerS: diff("changes") / seconds,
-    kbWrittenPerS: diff("bytesWritten") / 1024 / seconds,
-    refusedRequests: diff("refusedRequests"),
-    refusedChanges: diff("refusedChanges"),
-    conflicts: diff("conflicts"),
-    keys: to?.keys ?? 0,
-    kbKept: (to?.bytesKept ?? 0) / 1024,
+    requestsPerS: increase("requests") / seconds,
+    changesPerS: increase("changes") / seconds,
+    kbWrittenPerS: increase("bytesWritten") / 1024 / seconds,
+    refusedRequests: increase("refusedRequests"),
+    refusedChanges: increase("refusedChanges"),
+    conflicts: increase("conflicts"),
+    keys: last?.keys ?? 0,
+    kbKept: (last?.bytesKept ?? 0) / 1024,
   };
 }
 
@@ -167,7 +170,7 @@
   mb: number,
   seconds: number,
 ): WorkerResults {
-  const sums = (all: readonly (Figures | null)[]) => {
+  const totals = (all: readonly (Figures | null)[]) => {
     const sum = { workers: 0, reports: 0, refused: 0, bytesOut: 0, bytesIn: 0, tasks: 0 };
     for (const { traffic, tasks } of figuresOf("workers", all)) {
       sum.workers += traffic.workers;
@@ -179,16 +182,16 @@
     }
     return sum;
   };
-  const [from, to] = [sums(before), sums(after)];
-  const workers = Math.max(1, (from.workers + to.workers) / 2);
-  const reports = to.reports - from.reports;
+  const [start, end] = [totals(before), totals(after)];
+  const workers = Math.max(1, (start.workers + end.workers) / 2);
+  const reports = end.reports - start.reports;
   return {
-    workers: to.workers,
-    tasksPerWorker: (from.tasks + to.tasks) / 2 / workers,
+    workers: end.workers,
+    tasksPerWorker: (start.tasks + end.tasks) / 2 / workers,
     reportsPerS: reports / seconds,
-    refusedReportsShare: reports === 0 ? 0 : (to.refused - from.refused) / reports,
-    bytesOutPerS: (to.bytesOut - from.bytesOut) / workers / seconds,
-    bytesInPerS: (to.bytesIn - from.bytesIn) / workers / seconds,
+    refusedReportsShare: reports === 0 ? 0 : (end.refused - start.refused) / reports,
+    bytesOutPerS: (end.bytesOut - start.bytesOut) / workers / seconds,
+    bytesInPerS: (end.bytesIn - start.bytesIn) / workers / seconds,
     cores: cores / workers,
     mb: mb / workers,
   };
@@ -222,7 +225,7 @@
 const cell = (value: number | string | null, digits = 0): string =>
   value === null ? "-" : typeof value === "string" ? value : value.toFixed(digits);
 
-/** Columns as wide as their widest cell, the first to the left, the others to the right. */
+/** Aligns columns: the first one to the left, the others to the right. */
 function table(rows: readonly (readonly string[])[]): string {
   const widths = rows[0]!.map((_, i) => Math.max(...rows.map((row) => row[i]!.length)));
   const line = (row: readonly string[]): string =>
@@ -232,10 +235,10 @@
   return rows.map(line).join("\n");
 }
 
-/** The results as text, as the command prints them. */
+/** Formats the results as the text that the command prints. */
 export function tableOf(results: LabResults): string {
   const { roles, priorities, tasks, state, worker, jobs, configuration, violations } = results;
-  const parts = [
+  const sections = [
     table([
       ["role", "processes", "cores", "most", "MB", "heap MB", "requests/s", "KB/s in", "KB/s out"],
       ...roles.map((one) => [
@@ -282,7 +285,7 @@
       Object.entries(tasks.endsByCause)
         .map(([cause, count]) => `${cause} ${count}`)
         .join(", "),
-    `a worker (of ${worker.workers}, ${cell(worker.tasksPerWorker, 1)} tasks): ` +
+    `per worker (of ${worker.workers}, ${cell(worker.tasksPerWorker, 1)} tasks each): ` +
       `${cell(worker.bytesOutPerS)} bytes/s out, ${cell(worker.bytesInPerS)} in, ` +
       `${cell(100 * worker.cores, 2)}% of a core, ${cell(worker.mb, 1)} MB`,
     `jobs: ${jobs.submitted} submitted, ${jobs.accepted} accepted, ${jobs.done} done, ` +
@@ -290,13 +293,15 @@
   ];
   if (configuration !== null) {
     const { changes, notInForce, failures, inForceMs } = configuration;
-    parts.push(
+    sections.push(
       `configuration: ${changes} changes, in force p50 ${inForceMs.p50} ms, p99 ${inForceMs.p99}, ` +
-        `most ${inForceMs.max}, ${notInForce} not yet, ${failures.length} not made ${failures[0] ?? ""}`,
+        `max ${inForceMs.max}, ${notInForce} not in force yet, ${failures.length} failed ${failures[0] ?? ""}`,
     );
   }
-  for (const end of results.controllerEnds) parts.push(`by itself: ${end}`);
-  const broken = violations.map(({ rule, detail }) => `broken: ${rule}: ${detail}`);
-  parts.push(broken.length === 0 ? "no rule broken" : broken.slice(0, 20).join("\n"));
-  return `${results.label}\n\n${parts.slice(0, 3).join("\n\n")}\n\n${parts.slice(3).join("\n")}\n`;
+  for (const exit of results.controllerEnds) sections.push(`by itself: ${exit}`);
+  const violationLines = violations.map(({ rule, detail }) => `broken: ${rule}: ${detail}`);
+  sections.push(
+    violationLines.length === 0 ? "no rule broken" : violationLines.slice(0, 20).join("\n"),
+  );
+  return `${results.label}\n\n${sections.slice(0, 3).join("\n\n")}\n\n${sections.slice(3).join("\n")}\n`;
 }
--- a/src/lab/process.ts
+++ b/src/lab/role-process.ts
@@ -1,15 +1,15 @@
-/** What runs in each process of the lab that is not a controller. */
+/** Entry point of the lab's child processes other than controllers. */
 import { HollowWorkers } from "./hollow-workers.js";
 import type { Assignment, FromProcess, ToProcess } from "./messages.js";
-import { CloudProcess, type RoleProcess, StateProcess } from "./services.js";
+import { CloudProcess, type RoleProcess, StateProcess } from "./stand-in-processes.js";
 import { UsersProcess } from "./users.js";
 
 const send = (message: FromProcess): void => {
-  // The run has ended, and with it the channel.
+  // The channel is closed once the run has ended.
   if (process.connected) process.send!(message);
 };
 
-function roleOf(assignment: Assignment): RoleProcess {
+function createRole(assignment: Assignment): RoleProcess {
   switch (assignment.role) {
     case "state":
       return new StateProcess(assignment);
@@ -22,18 +22,20 @@
   }
 }
 
-/** Serves the run that started this process, and ends with it, however it ends. */
-export function serveRun(): void {
+/**
+ * Handles messages of the run that started this process; exits when that run ends for any reason.
+ */
+export function runRoleProcess(): void {
   process.once("disconnect", () => process.exit(0));
-  // Ctrl-c reaches the whole group: the run ends its processes in its own order.
+  // Ctrl-C signals the whole process group; ignored, because the run ends its processes in order.
   process.on("SIGINT", () => undefined);
   let role: RoleProcess | null = null;
   process.on("message", (message: ToProcess) => {
     if (message.kind === "begin") {
-      role = roleOf(message.assignment);
+      role = createRole(message.assignment);
       void role.start().then((address) => send({ kind: "ready", address }));
     } else if (message.kind === "sample" && role !== null) {
       send({ kind: "sampled", figures: role.figures() });
-    } else role?.take(message);
+    } else role?.onMessage(message);
   });
 }
--- a/src/lab/run.ts
+++ b/src/lab/run.ts
@@ -1,14 +1,14 @@
-/** One run: starts the platform, warms up, measures, and ends all that it started. */
+/** Runs a scenario: starts the platform, warms up, measures, and ends all processes it started. */
 import { build } from "hdr-histogram-js";
 import { JobClient } from "../client/client.js";
 import { systemClock } from "../clock.js";
 import { HttpClient } from "../http/client.js";
-import type { ControllerProcess, LabProcess } from "./children.js";
-import { Faults } from "./faults.js";
+import type { ControllerProcess, LabProcess } from "./child-processes.js";
+import { FaultInjector } from "./fault-injector.js";
 import { History } from "./history.js";
-import { type Figures, noCounts, sharedNow, type UserCounts } from "./messages.js";
+import { emptyUserCounts, type Figures, sharedNow, type UserCounts } from "./messages.js";
 import { LabPlatform } from "./platform.js";
-import type { ProcessUse, Resources } from "./resources.js";
+import type { ProcessUsage, Resources } from "./process-usage.js";
 import {
   configurationResults,
   figuresOf,
@@ -21,27 +21,27 @@
 } from "./results.js";
 import { type Scenario, SERVICES_PER_REGION, teamNames } from "./scenario.js";
 
-const PROGRESS_MS = 5000;
-const METRICS_MS = 2000;
-const MB = 1024 * 1024;
-const LONGEST_MS = 600_000;
-/** Resident memory of all processes of a run together. */
-const MOST_MB = 8192;
+const PROGRESS_INTERVAL_MS = 5000;
+const METRICS_TIMEOUT_MS = 2000;
+const BYTES_PER_MB = 1024 * 1024;
+const MAX_IN_FORCE_MS = 600_000;
+/** Default limit on the resident memory of all processes of a run together. */
+const MAX_RESIDENT_MB = 8192;
 
 export interface RunOptions {
   scenario: Scenario;
-  /** The program that all processes run: this one. */
+  /** Path of this program, which all processes run. */
   program: string;
-  /** Progress, a line at a time. */
-  say(text: string): void;
-  /** More resident memory of all processes ends the run; 8 GB if it is not given. */
-  mostMb?: number;
+  /** Called with progress, one line at a time. */
+  onProgress(text: string): void;
+  /** The run is aborted if all processes together hold more resident memory; default 8 GB. */
+  maxResidentMb?: number;
 }
 
-/** All processes of one role, with what they had used by some moment. */
+/** The processes of one role, with the resources each had used at the time of the sample. */
 interface RoleSample {
   role: string;
-  uses: ProcessUse[];
+  usages: ProcessUsage[];
   resources: Resources[];
 }
 
@@ -51,8 +51,8 @@
   figures: (Figures | null)[];
 }
 
-/** Resolves after the time, or as soon as the run is interrupted. */
-function wait(ms: number, signal: AbortSignal): Promise<void> {
+/** Resolves after `ms`, or as soon as the signal is aborted. */
+function abortableSleep(ms: number, signal: AbortSignal): Promise<void> {
   return new Promise((resolve) => {
     if (signal.aborted) return resolve();
     const end = (): void => {
@@ -65,31 +65,31 @@
   });
 }
 
-/** @throws Error when something does not come up; all that was started has ended then */
+/** @throws Error when a process does not start; all processes have been ended by then */
 export async function runScenario(
-  { scenario, program, say, mostMb = MOST_MB }: RunOptions,
+  { scenario, program, onProgress, maxResidentMb = MAX_RESIDENT_MB }: RunOptions,
   signal: AbortSignal,
 ): Promise<LabResults> {
   const { teams, workers } = scenario;
   const limits = new Map(teamNames(scenario).map((name) => [name, teams.limit_cpus]));
   const history = new History(limits, workers.cancel_s * 1000, workers.processes);
   const platform = new LabPlatform(scenario, program, history);
-  const faults = new Faults(platform, say);
+  const faults = new FaultInjector(platform, onProgress);
   try {
-    say("starting");
+    onProgress("starting");
     await platform.start();
-    return await measure(platform, history, faults, { say, mostMb }, signal);
+    return await measure(platform, history, faults, { onProgress, maxResidentMb }, signal);
   } finally {
     faults.stop();
-    await platform.end();
+    await platform.stop();
   }
 }
 
 async function measure(
   platform: LabPlatform,
   history: History,
-  faults: Faults,
-  { say, mostMb }: Required<Pick<RunOptions, "say" | "mostMb">>,
+  faults: FaultInjector,
+  { onProgress, maxResidentMb }: Required<Pick<RunOptions, "onProgress" | "maxResidentMb">>,
   signal: AbortSignal,
 ): Promise<LabResults> {
   const { scenario } = platform;
@@ -97,69 +97,76 @@
   const interrupt = (): void => stop.abort();
   signal.addEventListener("abort", interrupt, { once: true });
   if (signal.aborted) interrupt();
-  let tooLarge: string | null = null;
+  let memoryExceeded: string | null = null;
   const startedAt = sharedNow();
   const from = startedAt + scenario.warmup_s * 1000;
-  history.measure(from, from + scenario.length_s * 1000);
-  platform.go();
+  history.setWindow(from, from + scenario.length_s * 1000);
+  platform.startLoad();
   faults.start();
   const progress = setInterval(() => {
     const seconds = Math.round((sharedNow() - startedAt) / 1000);
     const mb = residentMb(platform);
-    if (mb > mostMb) {
-      tooLarge = `the run holds ${Math.round(mb)} MB, at most ${mostMb}`;
+    if (mb > maxResidentMb) {
+      memoryExceeded = `the run uses ${Math.round(mb)} MB of resident memory, more than the limit of ${maxResidentMb}`;
       stop.abort();
     }
-    say(`${seconds} s: ${platform.up.size} machines, ${history.running} tasks running`);
-  }, PROGRESS_MS);
+    onProgress(
+      `${seconds} s: ${platform.runningMachines.size} machines, ${history.running} tasks running`,
+    );
+  }, PROGRESS_INTERVAL_MS);
   try {
-    await wait(from - sharedNow(), stop.signal);
+    await abortableSleep(from - sharedNow(), stop.signal);
     const before = await sample(platform);
-    say("measuring");
-    await wait(from + scenario.length_s * 1000 - sharedNow(), stop.signal);
-    if (tooLarge !== null) throw new Error(tooLarge);
+    onProgress("measuring");
+    await abortableSleep(from + scenario.length_s * 1000 - sharedNow(), stop.signal);
+    if (memoryExceeded !== null) throw new Error(memoryExceeded);
     const after = await sample(platform);
-    const said = await Promise.all(platform.controllers.map(saidBy));
-    return resultsOf(platform, history, before, after, said, !signal.aborted);
+    const controllerStates = await Promise.all(platform.controllers.map(controllerState));
+    return resultsOf(platform, history, before, after, controllerStates, !signal.aborted);
   } finally {
     clearInterval(progress);
     signal.removeEventListener("abort", interrupt);
   }
 }
 
-function rolesOf({ regions, workers }: LabPlatform): { role: string; uses: ProcessUse[] }[] {
-  const useOf = ({ use }: LabProcess | ControllerProcess): ProcessUse => use;
+function rolesOf({
+  regions,
+  workerProcesses,
+}: LabPlatform): { role: string; usages: ProcessUsage[] }[] {
+  const usageOf = ({ usage }: LabProcess | ControllerProcess): ProcessUsage => usage;
   return [
-    { role: "controllers", uses: regions.flatMap(({ controllers }) => controllers.map(useOf)) },
-    { role: "workers", uses: workers.map(useOf) },
-    { role: "state services", uses: regions.map(({ state }) => useOf(state)) },
-    { role: "clouds", uses: regions.map(({ cloud }) => useOf(cloud)) },
-    { role: "users", uses: regions.map(({ users }) => useOf(users)) },
+    { role: "controllers", usages: regions.flatMap(({ controllers }) => controllers.map(usageOf)) },
+    { role: "workers", usages: workerProcesses.map(usageOf) },
+    { role: "state services", usages: regions.map(({ state }) => usageOf(state)) },
+    { role: "clouds", usages: regions.map(({ cloud }) => usageOf(cloud)) },
+    { role: "users", usages: regions.map(({ users }) => usageOf(users)) },
   ];
 }
 
-/** Of all processes that the run has started; sampled, so that peaks are seen as well. */
+/**
+ * Resident memory of all processes of the run. Samples each of them, which also updates its peak.
+ */
 function residentMb(platform: LabPlatform): number {
   let sum = 0;
-  for (const { uses } of rolesOf(platform)) {
-    for (const use of uses) sum += use.sample().residentMb;
+  for (const { usages } of rolesOf(platform)) {
+    for (const usage of usages) sum += usage.sample().residentMb;
   }
   return sum;
 }
 
 async function sample(platform: LabPlatform): Promise<Sample> {
   const figures = await Promise.all(platform.processes.map((one) => one.sample()));
-  const roles = rolesOf(platform).map(({ role, uses }) => ({
+  const roles = rolesOf(platform).map(({ role, usages }) => ({
     role,
-    uses,
-    resources: uses.map((use) => use.sample()),
+    usages,
+    resources: usages.map((usage) => usage.sample()),
   }));
   return { at: sharedNow(), roles, figures };
 }
 
-/** What a controller says of itself at the end of the window. */
-interface Said {
-  /** Heap in use, MB; null when it does not say. */
+/** State of a controller at the end of the window, as it reports it. */
+interface ControllerState {
+  /** Heap in use, MB; null if not reported. */
   heapMb: number | null;
   leads: boolean;
   parts: number;
@@ -171,15 +178,15 @@
   parts: { owner: string | null }[];
 }
 
-async function saidBy({ listen }: ControllerProcess): Promise<Said> {
+async function controllerState({ listen }: ControllerProcess): Promise<ControllerState> {
   const http = new HttpClient(listen, 1, systemClock);
   const jobs = new JobClient(listen, systemClock, http);
   try {
-    const text = await http.text("/metrics", METRICS_MS);
-    const found = /^birchdale_heap_bytes (\S+)$/m.exec(text);
+    const text = await http.text("/metrics", METRICS_TIMEOUT_MS);
+    const match = /^birchdale_heap_bytes (\S+)$/m.exec(text);
     const { node, leads, parts } = (await jobs.status()) as StatusView;
     return {
-      heapMb: found === null ? null : Number(found[1]) / MB,
+      heapMb: match === null ? null : Number(match[1]) / BYTES_PER_MB,
       leads,
       parts: parts.filter(({ owner }) => owner === node).length,
     };
@@ -191,7 +198,7 @@
 }
 
 function roleFigures(
-  { role, uses, resources: before }: RoleSample,
+  { role, usages, resources: before }: RoleSample,
   { resources: after }: RoleSample,
   seconds: number,
   heaps: readonly (number | null)[],
@@ -203,10 +210,10 @@
   const known = heaps.filter((heap) => heap !== null);
   return {
     role,
-    processes: uses.length,
+    processes: usages.length,
     cores: cores.reduce((total, one) => total + one, 0),
     mostCores: Math.max(...cores),
-    residentMb: Math.max(...uses.map(({ peakMb }) => peakMb)),
+    residentMb: Math.max(...usages.map(({ peakMb }) => peakMb)),
     heapMb: known.length === 0 ? null : Math.max(...known),
     requestsPerS,
     kbInPerS: sum(({ bytesIn }) => bytesIn) / 1024 / seconds,
@@ -219,14 +226,14 @@
   history: History,
   before: Sample,
   after: Sample,
-  said: readonly Said[],
+  controllerStates: readonly ControllerState[],
   complete: boolean,
 ): LabResults {
   const { scenario, regions } = platform;
-  const heaps = said.map(({ heapMb }) => heapMb);
+  const heaps = controllerStates.map(({ heapMb }) => heapMb);
   const seconds = Math.max(0.001, (after.at - before.at) / 1000);
   const state = regions.map(({ region }, i) => {
-    // Of each region the state service comes first.
+    // `LabPlatform.processes` lists each region's state service first.
     const at = i * SERVICES_PER_REGION;
     return stateResults(region.name, before.figures[at]!, after.figures[at]!, seconds);
   });
@@ -245,7 +252,7 @@
     null,
   ];
   const users = figuresOf("users", after.figures);
-  const jobs = noCounts();
+  const jobs = emptyUserCounts();
   for (const { counts } of users) {
     for (const name of Object.keys(jobs) as (keyof UserCounts)[]) jobs[name] += counts[name];
   }
@@ -262,14 +269,20 @@
     controllers: platform.controllers.map(({ name }, i) => {
       const { cpuS, residentMb } = after.roles[0]!.resources[i]!;
       const cores = (cpuS - before.roles[0]!.resources[i]!.cpuS) / seconds;
-      return { name, cores, residentMb, leads: said[i]!.leads, parts: said[i]!.parts };
+      return {
+        name,
+        cores,
+        residentMb,
+        leads: controllerStates[i]!.leads,
+        parts: controllerStates[i]!.parts,
+      };
     }),
     worker,
     tasks: {
       running: history.running,
       startsPerS: history.starts / seconds,
       endsPerS: history.ends / seconds,
-      repeatedStarts: history.repeated,
+      repeatedStarts: history.repeatedStarts,
       endsByCause: Object.fromEntries(history.causes),
     },
     jobs,
@@ -278,9 +291,9 @@
     configuration: configurationResults(
       changes.filter(({ committedAt }) => committedAt >= before.at),
       users.flatMap(({ failures }) => failures),
-      build({ highestTrackableValue: LONGEST_MS, numberOfSignificantValueDigits: 3 }),
+      build({ highestTrackableValue: MAX_IN_FORCE_MS, numberOfSignificantValueDigits: 3 }),
     ),
     violations: history.violations,
-    controllerEnds: platform.controllers.flatMap(({ ends }) => ends),
+    controllerEnds: platform.controllers.flatMap(({ unexpectedExits }) => unexpectedExits),
   };
 }
--- a/src/lab/scenario.ts
+++ b/src/lab/scenario.ts
@@ -1,11 +1,11 @@
-/** The file of a lab run: TOML, read into a `Scenario` or refused with file, field and reason. */
+/** Reads scenario files of lab runs (TOML); errors name file, field and reason. */
 import { readFileSync } from "node:fs";
 import { parse, TomlError } from "smol-toml";
 import { z } from "zod";
 import { sentenceOf } from "../errors.js";
 import { PRIORITIES } from "../wire/jobs.js";
 
-/** One line for the operator: file, field and reason. */
+/** Error in a scenario file or in `--set`: one line with file, field and reason. */
 export class ScenarioError extends Error {}
 
 const positive = z.number().finite().positive();
@@ -14,21 +14,21 @@
 const share = z.number().min(0).max(1);
 const name = z.string().min(1).max(60);
 
-/** A lognormal distribution, cut off at `max`. */
+/** A lognormal distribution; larger values are replaced by `max`. */
 const distribution = z.strictObject({ median: positive, p95: positive, max: positive });
 
 const jobClass = z.strictObject({
   name,
   priority: z.enum(PRIORITIES),
-  /** Of all jobs; the shares of all classes add up to 1. */
+  /** Share of all jobs; the shares of all classes add up to 1. */
   share,
   tasks: distribution,
   run_s: distribution,
   cpus: positive,
   memory_gb: amount,
-  /** 0: its tasks never save. */
+  /** Time between checkpoints; 0 if its tasks do not save checkpoints. */
   checkpoint_s: amount.default(0),
-  /** Of its jobs, withdrawn by their users while they are open. */
+  /** Share of its jobs that their users cancel before they are finished. */
   cancelled: share.default(0),
   zone: name.optional(),
 });
@@ -37,17 +37,17 @@
   name,
   seed: z.number().int().nonnegative(),
   warmup_s: amount,
-  /** Measured, after the warm-up. */
+  /** Length of the measured window, which starts after the warm-up. */
   length_s: positive,
   workers: z.strictObject({
     report_s: positive,
     lease_s: positive,
     cancel_s: positive,
-    /** Processes that the hollow workers of all regions share. */
+    /** Number of processes that the hollow workers of all regions share. */
     processes: count,
   }),
   controllers: z.strictObject({
-    /** Operators' settings of all controllers, as protobuf text. */
+    /** Operators' settings for all controllers, as protobuf text. */
     tuning: z.string().default(""),
     cores: positive.default(1),
     ram_mb: positive.default(178),
@@ -70,7 +70,7 @@
   }),
   teams: z.strictObject({
     count,
-    /** CPUs of all regions together, of each team. */
+    /** CPUs for each team over all regions. */
     guarantee_cpus: amount,
     limit_cpus: positive,
   }),
@@ -79,9 +79,9 @@
       z.strictObject({
         name,
         controllers: count,
-        /** Up at the start. */
+        /** Machines that are up at the start. */
         machines: count,
-        /** More that may be rented. */
+        /** Further machines that may be rented. */
         spare_machines: z.number().int().nonnegative().default(0),
       }),
     )
@@ -96,23 +96,25 @@
   }),
   faults: z
     .strictObject({
-      /** Seconds from the start of the run, as everywhere here. */
+      /** Seconds from the start of the run, as for all fields that end in `at_s`. */
       controller_killed_at_s: amount.optional(),
       controller_back_after_s: positive.default(5),
-      /** One controller gives away what it owns, and only answers users from then on. */
+      /**
+       * A controller is drained: it hands over all it owns, and only answers users from then on.
+       */
       controller_drained_at_s: amount.optional(),
       machines_lost: z.strictObject({ at_s: amount, count }).optional(),
       state_out: z.strictObject({ at_s: amount, length_s: positive }).optional(),
       machine_failures_per_day: amount.default(0),
       machine_restarts_per_day: amount.default(0),
-      /** How many times faster than real days failures and restarts come. */
+      /** Factor by which machine failures and restarts are more frequent than given per day. */
       speed: positive.default(1),
     })
     .prefault({}),
   configuration: z
     .strictObject({
       changes_per_day: amount,
-      /** How many times faster than real days they come. */
+      /** Factor by which changes are more frequent than given per day. */
       speed: positive.default(1),
     })
     .optional(),
@@ -131,28 +133,30 @@
   );
 };
 
-/** Bounds of what one run may start on a machine. */
-const MOST_PROCESSES = 40;
-/** Of a region, beside its controllers: state service, cloud, users. */
+/** Most processes that one run may start. */
+const MAX_PROCESSES = 40;
+/** Processes of a region besides its controllers: state service, cloud, users. */
 export const SERVICES_PER_REGION = 3;
 
-/** Processes that a run starts, itself included. */
+/** Number of processes in a run, including the run itself. */
 export const processesOf = ({ regions, workers }: Scenario): number =>
   1 +
   workers.processes +
   regions.reduce((sum, { controllers }) => sum + controllers + SERVICES_PER_REGION, 0);
 
-/** @returns field and reason of the first thing that does not fit together, or null. */
-function contradiction(scenario: Scenario): { field: string; reason: string } | null {
+/**
+ * @returns field and reason of the first inconsistency between fields, or null if there is none.
+ */
+function findInconsistency(scenario: Scenario): { field: string; reason: string } | null {
   const regions = new Set<string>();
   for (const [i, { name: region }] of scenario.regions.entries()) {
     if (regions.has(region))
-      return { field: `regions.${i}.name`, reason: `${region} is there twice` };
+      return { field: `regions.${i}.name`, reason: `${region} is defined twice` };
     regions.add(region);
   }
   const zones = new Map<string, string>();
   for (const [i, { name: zone, region }] of scenario.zones.entries()) {
-    if (zones.has(zone)) return { field: `zones.${i}.name`, reason: `${zone} is there twice` };
+    if (zones.has(zone)) return { field: `zones.${i}.name`, reason: `${zone} is defined twice` };
     if (!regions.has(region))
       return { field: `zones.${i}.region`, reason: `there is no region ${region}` };
     zones.set(zone, region);
@@ -167,27 +171,27 @@
   }
   for (const [i, { cpus }] of scenario.jobs.entries()) {
     if (cpus > scenario.machine.cpus)
-      return { field: `jobs.${i}.cpus`, reason: "more than a machine has" };
+      return { field: `jobs.${i}.cpus`, reason: "more CPUs than a machine has" };
   }
   const shares = scenario.jobs.reduce((sum, one) => sum + one.share, 0);
   if (Math.abs(shares - 1) > 1e-6)
-    return { field: "jobs", reason: `the shares add up to ${shares}, not to 1` };
+    return { field: "jobs", reason: `the shares add up to ${shares}, expected 1` };
   const { guarantee_cpus, limit_cpus } = scenario.teams;
   if (guarantee_cpus > limit_cpus)
     return { field: "teams.guarantee_cpus", reason: "is above limit_cpus" };
   if (scenario.workers.cancel_s <= scenario.workers.lease_s)
     return { field: "workers.cancel_s", reason: "must be longer than lease_s" };
   const processes = processesOf(scenario);
-  if (processes > MOST_PROCESSES)
+  if (processes > MAX_PROCESSES)
     return {
       field: "workers.processes",
-      reason: `${processes} processes, at most ${MOST_PROCESSES}`,
+      reason: `${processes} processes, at most ${MAX_PROCESSES}`,
     };
   return null;
 }
 
-/** `path=value` on the command line changes one field of the file, before it is checked. */
-function override(raw: Record<string, unknown>, setting: string): void {
+/** Applies `--set path=value`, which overrides one field of the file before validation. */
+function applyOverride(raw: Record<string, unknown>, setting: string): void {
   const at = setting.indexOf("=");
   if (at < 0) throw new ScenarioError(`--set ${setting}: expected path=value`);
   const path = setting.slice(0, at).split(".");
@@ -217,17 +221,18 @@
     if (!(error instanceof TomlError)) throw error;
     throw new ScenarioError(`${file}:${error.line}: ${error.message.split("\n")[0]}`);
   }
-  for (const setting of settings) override(raw, setting);
+  for (const setting of settings) applyOverride(raw, setting);
   const result = schema.safeParse(raw);
   if (!result.success) {
     const issue = result.error.issues[0]!;
     const unknown = issue.code === "unrecognized_keys" ? [issue.keys[0] ?? ""] : [];
     const field = [...issue.path, ...unknown].join(".") || "file";
-    const reason = unknown.length > 0 ? "is not a field" : issue.message;
+    const reason = unknown.length > 0 ? "is not a known field" : issue.message;
     throw new ScenarioError(`${file}: ${field}: ${reason}`);
   }
-  const fault = contradiction(result.data);
-  if (fault !== null) throw new ScenarioError(`${file}: ${fault.field}: ${fault.reason}`);
+  const inconsistency = findInconsistency(result.data);
+  if (inconsistency !== null)
+    throw new ScenarioError(`${file}: ${inconsistency.field}: ${inconsistency.reason}`);
   return result.data;
 }
 
--- a/src/lab/services.ts
+++ b/src/lab/stand-in-processes.ts
@@ -1,16 +1,16 @@
-/** Processes of the stand-ins: the state service and the cloud of one region. */
+/** Roles of child processes that run a stand-in: the state service or the cloud of one region. */
 import { systemClock } from "../clock.js";
 import { Cloud, type CloudType, StateServer, StateService, sizeOf } from "../local/index.js";
-import { Draw } from "./draw.js";
 import type { Assignment, Figures, FromProcess, ToProcess } from "./messages.js";
+import { RandomSource } from "./random-source.js";
 
 type Send = (message: FromProcess) => void;
 
-/** A process's part of the run: takes messages, and says its figures. */
+/** A child process's role in the run: handles messages and provides figures. */
 export interface RoleProcess {
-  /** @returns its address, "" for one that nobody reaches */
+  /** @returns the address it serves on, "" if it does not serve */
   start(): Promise<string>;
-  take(message: ToProcess): void;
+  onMessage(message: ToProcess): void;
   figures(): Figures;
 }
 
@@ -22,15 +22,15 @@
 
   constructor({ scenario, seed }: Assignment) {
     const { rps, write_rps, value_kb, txn_ops, latency_ms } = scenario.state;
-    const draw = new Draw(seed);
+    const randomSource = new RandomSource(seed);
     this.#state = new StateService(systemClock, {
       ops: txn_ops,
       conditions: txn_ops * CONDITIONS_PER_CHANGE,
       valueBytes: value_kb * 1024,
     });
     const limits = { rps, writeRps: write_rps };
-    this.#server = new StateServer(this.#state, systemClock, limits, draw.random, () =>
-      draw.latencyMs(latency_ms),
+    this.#server = new StateServer(this.#state, systemClock, limits, randomSource.random, () =>
+      randomSource.latencyMs(latency_ms),
     );
   }
 
@@ -38,7 +38,7 @@
     return this.#server.start();
   }
 
-  take(message: ToProcess): void {
+  onMessage(message: ToProcess): void {
     if (message.kind === "outage") this.#state.setOutage(message.on);
   }
 
@@ -50,7 +50,7 @@
   }
 }
 
-/** Gigabytes that a machine of the lab keeps and fetches a second: images are no subject of it. */
+/** Image cache size and download rate of machines; lab runs do not measure image downloads. */
 const CACHE_GB = 100;
 const FETCH_GB_PER_S = 10;
 const SPOT_SHARE_OF_PRICE = 0.3;
@@ -64,7 +64,7 @@
     this.#assignment = assignment;
     const { scenario, region, zones, seed } = assignment;
     const { machine, cloud } = scenario;
-    const draw = new Draw(seed);
+    const randomSource = new RandomSource(seed);
     this.#type = {
       name: machine.type,
       cores: machine.cpus,
@@ -87,8 +87,8 @@
         terminationNotice: () => undefined,
         gone: (uid) => send({ kind: "gone", uid }),
       },
-      draw.random,
-      () => draw.latencyMs(cloud.latency_ms),
+      randomSource.random,
+      () => randomSource.latencyMs(cloud.latency_ms),
     );
     this.#cloud.maxMachines = region.machines + region.spare_machines;
   }
@@ -97,7 +97,7 @@
     return this.#cloud.start();
   }
 
-  take(message: ToProcess): void {
+  onMessage(message: ToProcess): void {
     const { region, zones } = this.#assignment;
     if (message.kind === "go") {
       for (let n = 0; n < region.machines; n++)
--- a/src/local/cloud.ts
+++ b/src/local/cloud.ts
@@ -90,7 +90,8 @@
   override stop(): void {
     super.stop();
     this.#listingTimer?.cancel();
-    // Drops machines that still boot: a worker started for one after this would keep the process alive.
+    // Drops machines that still boot: a worker started for one after this would keep the process
+    // alive.
     this.hosts.clear();
   }
 
@@ -161,7 +162,9 @@
     return host;
   }
 
-  /** Reclaims a random `share` of the running spot machines, `noticeS` after a termination notice. */
+  /**
+   * Reclaims a random `share` of the running spot machines, `noticeS` after a termination notice.
+   */
   takeSpot(share: number, noticeS: number): void {
     for (const { uid, borrowed, status } of [...this.hosts.values()]) {
       if (!borrowed || status !== "running" || this.random() >= share) continue;
@@ -170,7 +173,10 @@
     }
   }
 
-  /** Fails a machine: its worker stops at once, and it is listed as failed `FAILURE_LISTED_AFTER_MS` later. */
+  /**
+   * Fails a machine: its worker stops at once, and it is listed as failed `FAILURE_LISTED_AFTER_MS`
+   * later.
+   */
   fail(uid: string): void {
     const host = this.hosts.get(uid);
     if (host === undefined) return;
--- a/src/local/platform.ts
+++ b/src/local/platform.ts
@@ -57,7 +57,9 @@
 const FIRST_PORT = 10_000;
 const LAST_PORT = 32_000;
 
-/** A free loopback port, chosen at random so that platforms that run side by side rarely collide. */
+/**
+ * A free loopback port, chosen at random so that platforms that run side by side rarely collide.
+ */
 export async function freePort(): Promise<number> {
   for (;;) {
     const port = FIRST_PORT + Math.floor(Math.random() * (LAST_PORT - FIRST_PORT));
--- a/src/local/worker.ts
+++ b/src/local/worker.ts
@@ -156,7 +156,10 @@
     };
   }
 
-  /** Waits for `ms`; `#reportSoon` ends the wait earlier, but not before the next report may be sent. */
+  /**
+   * Waits for `ms`; `#reportSoon` ends the wait earlier, but not before the next report may be
+   * sent.
+   */
   #waitForNextReport(ms: number): Promise<void> {
     const { clock } = this.options;
     const startedAt = clock.now();
--- a/test/lab-results.test.ts
+++ b/test/lab-results.test.ts
@@ -3,8 +3,8 @@
 import { test } from "node:test";
 import { fileURLToPath } from "node:url";
 import { build } from "hdr-histogram-js";
-import { Draw } from "../src/lab/draw.js";
 import type { Figures } from "../src/lab/messages.js";
+import { RandomSource } from "../src/lab/random-source.js";
 import {
   configurationResults,
   type LabResults,
@@ -32,7 +32,7 @@
   bytesKept: 2048,
 });
 
-test("lab: a state service's figures are those of the window, what it keeps is as at its end", () => {
+test("lab: a state service's rates cover the window, its keys and their size are as at its end", () => {
   const results = stateResults("north", stateFigures(100, 50, 2), stateFigures(300, 90, 5), 20);
   assert.deepEqual(results, {
     region: "north",
@@ -53,7 +53,7 @@
   tasks: workers * 10,
 });
 
-test("lab: a worker's figures are means over all processes, whoever did not answer left out", () => {
+test("lab: a worker's figures are means over all processes, except those without figures", () => {
   const before = [workerFigures(40, 1000, 10), workerFigures(60, 0, 0), null];
   const after = [workerFigures(40, 1400, 14), workerFigures(60, 600, 0), stateFigures(1, 1, 1)];
   const results = workerResults(before, after, 0.2, 50, 20);
@@ -66,16 +66,17 @@
   assert.deepEqual([results.cores, results.mb], [0.002, 0.5]);
 });
 
-test("lab: changes that are not in force yet, and those not made, are told beside the delays", () => {
+test("lab: results list changes not in force yet and failed changes besides the delays", () => {
   const delays = [100, 300, null, 200].map((inForceMs) => ({ committedAt: 0, inForceMs }));
-  const empty = () => build({ highestTrackableValue: 10_000, numberOfSignificantValueDigits: 3 });
-  const results = configurationResults(delays, ["why"], empty());
+  const emptyHistogram = () =>
+    build({ highestTrackableValue: 10_000, numberOfSignificantValueDigits: 3 });
+  const results = configurationResults(delays, ["why"], emptyHistogram());
   assert.equal(results?.changes, 4);
   assert.equal(results?.notInForce, 1);
   assert.deepEqual(results?.failures, ["why"]);
   assert.deepEqual([results?.inForceMs.count, results?.inForceMs.max], [3, 300]);
-  assert.equal(configurationResults([], [], empty()), null);
-  assert.equal(configurationResults([], ["never"], empty())?.changes, 0);
+  assert.equal(configurationResults([], [], emptyHistogram()), null);
+  assert.equal(configurationResults([], ["never"], emptyHistogram())?.changes, 0);
 });
 
 const slopes: {
@@ -120,19 +121,19 @@
 ];
 for (const { name, points, slope, at0, power } of slopes) {
   test(`sweep: ${name}: slope, value at 0 and power`, () => {
-    const found = slopeOf(points);
-    for (const [got, want] of [
-      [found.slope, slope],
-      [found.at0, at0],
-      [found.power, power],
-      [found.off, 0],
+    const fit = slopeOf(points);
+    for (const [actual, expected] of [
+      [fit.slope, slope],
+      [fit.at0, at0],
+      [fit.power, power],
+      [fit.off, 0],
     ] as const)
-      assert.ok(Math.abs(got - want) < 1e-9, `${got} for ${want}`);
-    assert.equal(found.points, points.length);
+      assert.ok(Math.abs(actual - expected) < 1e-9, `${actual} for ${expected}`);
+    assert.equal(fit.points, points.length);
   });
 }
 
-test("sweep: what is no line says how far off it is, and by which power it grows", () => {
+test("sweep: for points that are not on a line, deviation and power are computed", () => {
   const { off, power } = slopeOf([
     [1, 1],
     [2, 4],
@@ -142,7 +143,7 @@
   assert.ok(off > 0.05 && off < 0.2, `${off}`);
 });
 
-test("sweep: every run's file takes what the run changes, within the bounds of a run", () => {
+test("sweep: every run's overrides are valid for its file, within the limit of processes", () => {
   const names = new Set<string>();
   for (const { name, file, set } of sweepRuns()) {
     const scenario = loadScenario(`${ROOT}${file}`, set);
@@ -152,7 +153,7 @@
   }
 });
 
-test("sweep: each run whose results are kept is one of the sweep, and broke no rule", () => {
+test("sweep: each stored result belongs to a run of the sweep, and violated no rule", () => {
   const names = new Set(sweepRuns().map(({ name }) => name));
   const files = readdirSync(RUNS);
   assert.ok(files.length > 0);
@@ -165,7 +166,7 @@
   }
 });
 
-test("lab: the table names every role, priority and region, broken rules and controllers that ended", () => {
+test("lab: the table lists each role, priority, region, violation and controller that exited", () => {
   const results = JSON.parse(readFileSync(`${RUNS}drained-1.json`, "utf8")) as LabResults;
   const table = tableOf(results);
   for (const { role } of results.roles) assert.ok(table.includes(`\n${role} `), role);
@@ -173,31 +174,31 @@
     assert.ok(table.includes(`\n${priority} `));
   for (const { region } of results.state) assert.ok(table.includes(`\n${region} `), region);
   assert.match(table, /\nno rule broken\n$/);
-  const broken = tableOf({
+  const tableWithViolation = tableOf({
     ...results,
     violations: [{ rule: "quota", at: 1, detail: "red uses 9 of 8" }],
     controllerEnds: ["north-1 ended with SIGSEGV"],
   });
   assert.match(
-    broken,
+    tableWithViolation,
     /\nby itself: north-1 ended with SIGSEGV\nbroken: quota: red uses 9 of 8\n$/,
   );
 });
 
-test("lab: classes come by their shares, waits by their rate, and nothing comes of a rate of 0", () => {
+test("lab: random classes match their shares, intervals their rate; a rate of 0 gives no event", () => {
   const scenario = loadScenario(`${ROOT}deploy/small.lab.toml`);
-  const draw = new Draw(3);
+  const randomSource = new RandomSource(3);
   const counts = new Map<string, number>();
-  const all = 5000;
-  for (let n = 0; n < all; n++) {
-    const { name } = draw.jobClass(scenario);
+  const drawCount = 5000;
+  for (let n = 0; n < drawCount; n++) {
+    const { name } = randomSource.jobClass(scenario);
     counts.set(name, (counts.get(name) ?? 0) + 1);
   }
   for (const { name, share } of scenario.jobs)
-    assert.ok(Math.abs((counts.get(name) ?? 0) / all - share) < 0.03, name);
-  let waited = 0;
-  for (let n = 0; n < all; n++) waited += draw.waitMs(4);
-  assert.ok(Math.abs(waited / all - 250) < 15, `${waited / all}`);
-  assert.equal(draw.waitMs(0), Number.POSITIVE_INFINITY);
-  for (let n = 0; n < 100; n++) assert.ok([0, 1, 2].includes(draw.index(3)));
+    assert.ok(Math.abs((counts.get(name) ?? 0) / drawCount - share) < 0.03, name);
+  let totalMs = 0;
+  for (let n = 0; n < drawCount; n++) totalMs += randomSource.interArrivalMs(4);
+  assert.ok(Math.abs(totalMs / drawCount - 250) < 15, `${totalMs / drawCount}`);
+  assert.equal(randomSource.interArrivalMs(0), Number.POSITIVE_INFINITY);
+  for (let n = 0; n < 100; n++) assert.ok([0, 1, 2].includes(randomSource.index(3)));
 });
--- a/test/loopback.test.ts
+++ b/test/loopback.test.ts
@@ -8,9 +8,9 @@
 import { parseOperators } from "../src/settings/operators.js";
 import { quiet } from "./support/common.js";
 
-const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
+const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
-interface Seen {
+interface ObservedEvent {
   kind: "started" | "ended";
   piece: string;
   host: string;
@@ -18,8 +18,8 @@
 }
 
 /** A platform with its controllers in this process, on real sockets and in real time. */
-class Site {
-  readonly seen: Seen[] = [];
+class LocalSite {
+  readonly events: ObservedEvent[] = [];
   readonly platform: Platform;
   readonly nodes = new Map<number, ControllerNode>();
   #operators: Awaited<ReturnType<typeof parseOperators>> | null = null;
@@ -33,7 +33,7 @@
       leaseS: 3,
       cancelS: 10,
       ...options,
-      watch: (event) => this.seen.push(event),
+      watch: (event) => this.events.push(event),
     });
   }
 
@@ -66,15 +66,19 @@
     return this.platform.front.address;
   }
 
-  async until(what: () => boolean | Promise<boolean>, why: string, ms = 40_000): Promise<void> {
+  async waitUntil(
+    condition: () => boolean | Promise<boolean>,
+    failure: string,
+    ms = 40_000,
+  ): Promise<void> {
     for (let waited = 0; waited < ms; waited += 50) {
-      if (await what()) return;
-      await pause(50);
+      if (await condition()) return;
+      await sleep(50);
     }
-    assert.fail(why);
+    assert.fail(failure);
   }
 
-  job(uid: string, owner: string, more: object): object {
+  job(uid: string, owner: string, overrides: object): object {
     return {
       uid,
       eidos: "test",
@@ -93,18 +97,19 @@
       expectS: 0.5,
       stashEveryS: 0,
       stashS: 0,
-      ...more,
+      ...overrides,
     };
   }
 
-  /** No task began on one machine while it was on another. */
-  twice(): string[] {
-    const where = new Map<string, string>();
+  /** Tasks that started on a machine while they were running on another. */
+  tasksRunTwice(): string[] {
+    const hostByTask = new Map<string, string>();
     const found: string[] = [];
-    for (const { kind, piece, host } of this.seen) {
-      if (kind === "ended") where.delete(piece);
-      else if (where.has(piece)) found.push(`${piece} on ${where.get(piece)} and ${host}`);
-      else where.set(piece, host);
+    for (const { kind, piece, host } of this.events) {
+      if (kind === "ended") hostByTask.delete(piece);
+      else if (hostByTask.has(piece))
+        found.push(`${piece} on ${hostByTask.get(piece)} and ${host}`);
+      else hostByTask.set(piece, host);
     }
     return found;
   }
@@ -115,9 +120,9 @@
     const answer = await client.call("POST", "/api/jobs", job, 5000).catch(() => null);
     if (answer !== null && answer.status < 300) return;
     assert.ok(answer === null || answer.status >= 429, JSON.stringify(answer));
-    await pause(300);
+    await sleep(300);
   }
-  assert.fail("not accepted");
+  assert.fail("the job was not accepted in 60 attempts");
 }
 
 const MARKET = `market {
@@ -127,8 +132,11 @@
   guest { name: "institute" most { cpus: 48 } }
 }`;
 
-test("loopback: bursts of bids, controllers killed, and the bulletin goes first", async () => {
-  const site = new Site({ controllers: 3, machines: 4, initial: 3 }, MARKET);
+// Guards against jobs within their team's guarantee waiting for rented slots, against tasks that run
+// twice, and against grants that are charged twice or never end, when controllers are killed during
+// bursts of bids. Guests' jobs fill the platform; each bulletin job needs the guests' machines.
+test("loopback: the bulletin is done and books add up while bids burst and controllers are killed", async () => {
+  const site = new LocalSite({ controllers: 3, machines: 4, initial: 3 }, MARKET);
   await site.start();
   const client = new HttpClient(site.address, 8);
   const market = new MarketClient(site.address);
@@ -137,15 +145,15 @@
     return (answer?.body as { status?: string } | undefined)?.status === "done";
   };
   try {
-    // Guests want everything, all the time, at one price.
+    // The guests' jobs always want all of the platform, at the same price.
     for (const guest of ["visitor", "institute"]) {
       const pieces = 200;
       void submit(client, site.job(`wk-${guest}`, guest, { pieces, expectS: 4 }));
     }
-    let made = 0;
+    let burstCount = 0;
     const burst = async (): Promise<void> => {
       const bids = Array.from({ length: 20 }, (_, n) => ({
-        id: `bid-${made}-${n}`,
+        id: `bid-${burstCount}-${n}`,
         guest: n % 2 === 0 ? "visitor" : "institute",
         cores: 2,
         memGb: 1,
@@ -153,19 +161,19 @@
         price: 1,
         latest: Date.now() / 1000 + 15,
       }));
-      made++;
+      burstCount++;
       await Promise.allSettled(bids.map((bid) => market.bid(bid)));
     };
     const bulletins: string[] = [];
     await burst();
-    await site.until(
-      () => site.seen.some(({ piece }) => /visitor|institute/.test(piece)),
-      "no guest ever ran",
+    await site.waitUntil(
+      () => site.events.some(({ piece }) => /visitor|institute/.test(piece)),
+      "no task of a guest started",
     );
     for (let round = 0; round < 4; round++) {
       const uid = `wk-bulletin-${round}`;
       bulletins.push(uid);
-      // All of the platform: every machine that guests are on.
+      // Needs machines that run guests' tasks.
       await submit(client, site.job(uid, "red", { pieces: 8, expectS: 0.3 }));
       if (round === 1) {
         site.kill(1);
@@ -177,14 +185,14 @@
         setTimeout(() => void site.boot(0), 1500);
         setTimeout(() => void site.boot(2), 2000);
       }
-      await Promise.all([burst(), pause(2500)]);
+      await Promise.all([burst(), sleep(2500)]);
     }
-    for (const uid of bulletins) await site.until(() => done(uid), `${uid} is not done`);
-    assert.deepEqual(site.twice(), []);
+    for (const uid of bulletins) await site.waitUntil(() => done(uid), `${uid} is not done`);
+    assert.deepEqual(site.tasksRunTwice(), []);
     const rows = site.platform.state.rows;
-    await site.until(
+    await site.waitUntil(
       () => ![...rows.keys()].some((key) => key.startsWith("w/m/g/")),
-      "grants that never end",
+      "some grants did not end",
       60_000,
     );
     const charges = [...rows]
@@ -205,21 +213,25 @@
   }
 });
 
-// ---- the stand-ins themselves ---------------------------------------------------------------
+// ---- stand-ins ------------------------------------------------------------------------------
 
-test("local: the state service keeps to PROTOCOL", async () => {
+test("local: the state service answers as PROTOCOL says", async () => {
   const state = new StateService(systemClock, { ops: 4, conditions: 16, valueBytes: 200 });
   const server = new StateServer(state, systemClock, { rps: 1000, writeRps: 10 }, () => 1);
   await server.start();
   const client = new HttpClient(server.address, 2);
-  const ask = async (method: string, path: string, body?: object): Promise<[number, unknown]> => {
+  const call = async (method: string, path: string, body?: object): Promise<[number, unknown]> => {
     const answer = await client.call(method, path, body, 5000);
     return [answer.status, answer.body];
   };
   try {
-    const write = (path: string, more: object = {}) => ({ write: path, data: { n: 1 }, ...more });
-    const [, hold] = await ask("POST", "/holds", { ttlMs: 60_000 });
-    const { tenancy } = hold as { tenancy: number };
+    const write = (path: string, fields: object = {}) => ({
+      write: path,
+      data: { n: 1 },
+      ...fields,
+    });
+    const [, leaseBody] = await call("POST", "/holds", { ttlMs: 60_000 });
+    const { tenancy } = leaseBody as { tenancy: number };
     const cases: [string, string, object | undefined, number, object?][] = [
       [
         "POST",
@@ -265,21 +277,21 @@
       ["POST", "/multi", { when: [], then: ["1", "2", "3", "4"].map((n) => write(n)) }, 200],
       ["POST", "/multi", { when: [], then: ["1", "2", "3", "4"].map((n) => write(n)) }, 429],
     ];
-    for (const [method, path, body, status, want] of cases) {
-      const [got, said] = await ask(method, path, body);
-      assert.equal(got, status, `${method} ${path}: ${JSON.stringify(said)}`);
-      if (want !== undefined) assert.deepEqual(said, want);
+    for (const [method, path, body, status, expectedBody] of cases) {
+      const [actualStatus, actualBody] = await call(method, path, body);
+      assert.equal(actualStatus, status, `${method} ${path}: ${JSON.stringify(actualBody)}`);
+      if (expectedBody !== undefined) assert.deepEqual(actualBody, expectedBody);
     }
-    const watched = ask("GET", "/watch?under=c/&after=3&blockMs=20000");
+    const watchResponse = call("GET", "/watch?under=c/&after=3&blockMs=20000");
     state.transact([], [{ put: "c/9", value: 5 }]);
-    assert.deepEqual((await watched)[1], {
+    assert.deepEqual((await watchResponse)[1], {
       ledgerRev: 4,
       log: [{ write: "c/9", data: 5, stamp: 4 }],
     });
     for (let n = 0; n < 10_001; n++) state.transact([], [{ put: "d", value: n }]);
-    assert.equal((await ask("GET", "/watch?under=c/&after=3&blockMs=0"))[0], 410);
+    assert.equal((await call("GET", "/watch?under=c/&after=3&blockMs=0"))[0], 410);
     state.setOutage(true);
-    assert.equal((await ask("GET", "/kv/a/1"))[0], 503);
+    assert.equal((await call("GET", "/kv/a/1"))[0], 503);
   } finally {
     client.close();
     server.stop();
@@ -287,30 +299,30 @@
   }
 });
 
-test("local: a command that a job names is run, and its end decides", async () => {
-  const site = new Site(
+test("local: a job's command is run, and its exit code decides whether the task is done", async () => {
+  const site = new LocalSite(
     { controllers: 1, zones: ["a"], initial: 1, commands: true },
     "rental { headroom: 2 }",
   );
   await site.start();
   const client = new HttpClient(site.address, 2);
   try {
-    const done = async (uid: string): Promise<string> =>
+    const statusOf = async (uid: string): Promise<string> =>
       ((await client.call("GET", `/api/jobs/${uid}`, undefined, 2000)).body as { status: string })
         .status;
-    const good = [
+    const exitCommand = [
       process.execPath,
       "-e",
       "process.exit(process.env.PIECE === 'wk-good/0' ? 0 : 1)",
     ];
-    await submit(client, site.job("wk-good", "red", { pieces: 1, command: good }));
-    await submit(client, site.job("wk-bad", "red", { pieces: 1, command: good }));
-    await site.until(async () => (await done("wk-good")) === "done", "wk-good is not done");
-    await site.until(
-      () => site.seen.some(({ kind, piece }) => kind === "ended" && piece === "wk-bad/0"),
+    await submit(client, site.job("wk-good", "red", { pieces: 1, command: exitCommand }));
+    await submit(client, site.job("wk-bad", "red", { pieces: 1, command: exitCommand }));
+    await site.waitUntil(async () => (await statusOf("wk-good")) === "done", "wk-good is not done");
+    await site.waitUntil(
+      () => site.events.some(({ kind, piece }) => kind === "ended" && piece === "wk-bad/0"),
       "wk-bad did not run",
     );
-    assert.notEqual(await done("wk-bad"), "done");
+    assert.notEqual(await statusOf("wk-bad"), "done");
   } finally {
     client.close();
     site.stop();
--- a/test/stand-ins.test.ts
+++ b/test/stand-ins.test.ts
@@ -27,36 +27,36 @@
   berths: ["a"],
 };
 
-/** A cloud on a fake clock, with what it told of its machines. */
-function cloudOf(capacity: number): { cloud: Cloud; clock: FakeClock; told: string[] } {
+/** A cloud on a fake clock, with the events it reported. */
+function cloudOf(capacity: number): { cloud: Cloud; clock: FakeClock; reported: string[] } {
   const clock = new FakeClock();
-  const told: string[] = [];
+  const reported: string[] = [];
   const events = {
-    up: ({ uid }: Host) => void told.push(`up ${uid}`),
+    up: ({ uid }: Host) => void reported.push(`up ${uid}`),
     terminationNotice: () => undefined,
-    gone: (uid: string) => void told.push(`gone ${uid}`),
+    gone: (uid: string) => void reported.push(`gone ${uid}`),
   };
   const limits = { rps: 100, listLagMs: 1000 };
-  return { cloud: new Cloud(clock, [TYPE], capacity, limits, events, () => 0.5), clock, told };
+  return { cloud: new Cloud(clock, [TYPE], capacity, limits, events, () => 0.5), clock, reported };
 }
 
-test("stand-ins: a machine that is there from the start is up at once, a rented one boots", async () => {
-  const { cloud, clock, told } = cloudOf(10);
-  const [first, second] = [cloud.add(TYPE, "a", false, true), cloud.add(TYPE, "a", false)];
+test("stand-ins: a machine added as ready is up at once, a rented one after its boot time", async () => {
+  const { cloud, clock, reported } = cloudOf(10);
+  const [readyHost, rentedHost] = [cloud.add(TYPE, "a", false, true), cloud.add(TYPE, "a", false)];
   await clock.run(1);
-  assert.deepEqual(told, [`up ${first.uid}`]);
+  assert.deepEqual(reported, [`up ${readyHost.uid}`]);
   await clock.run(11_000);
-  assert.deepEqual(told, [`up ${first.uid}`, `up ${second.uid}`]);
+  assert.deepEqual(reported, [`up ${readyHost.uid}`, `up ${rentedHost.uid}`]);
   cloud.stop();
 });
 
-test("stand-ins: a machine that dies is gone at once and stays listed as running for half a minute", async () => {
-  const { cloud, clock, told } = cloudOf(10);
+test("stand-ins: a failed machine is gone at once and is listed as running for 30 s more", async () => {
+  const { cloud, clock, reported } = cloudOf(10);
   const host = cloud.add(TYPE, "a", false, true);
   await clock.run(1);
   cloud.fail(host.uid);
   cloud.fail("host-999999");
-  assert.deepEqual(told, [`up ${host.uid}`, `gone ${host.uid}`]);
+  assert.deepEqual(reported, [`up ${host.uid}`, `gone ${host.uid}`]);
   await clock.run(29_000);
   assert.equal(cloud.hosts.get(host.uid)?.status, "running");
   await clock.run(2000);
@@ -64,22 +64,22 @@
   cloud.stop();
 });
 
-const rentals: { most: number; asked: number; status: number; got: number }[] = [
-  { most: Number.POSITIVE_INFINITY, asked: 4, status: 200, got: 4 },
-  { most: 3, asked: 4, status: 200, got: 2 },
-  { most: 1, asked: 4, status: 503, got: 0 },
+const rentals: { maxMachines: number; requested: number; status: number; granted: number }[] = [
+  { maxMachines: Number.POSITIVE_INFINITY, requested: 4, status: 200, granted: 4 },
+  { maxMachines: 3, requested: 4, status: 200, granted: 2 },
+  { maxMachines: 1, requested: 4, status: 503, granted: 0 },
 ];
-for (const { most, asked, status, got } of rentals) {
-  test(`stand-ins: beside one machine, ${asked} asked of ${most} in all: ${got}, status ${status}`, async () => {
+for (const { maxMachines, requested, status, granted } of rentals) {
+  test(`stand-ins: cloud with one machine and at most ${maxMachines}: renting ${requested} gives ${granted}, status ${status}`, async () => {
     const { cloud } = cloudOf(10);
-    cloud.maxMachines = most;
+    cloud.maxMachines = maxMachines;
     cloud.add(TYPE, "a", false);
     const client = new HttpClient(await cloud.start(), 1, systemClock);
     try {
-      const body = { charter: "r-1", build: "m4", berth: "a", borrowed: true, howMany: asked };
+      const body = { charter: "r-1", build: "m4", berth: "a", borrowed: true, howMany: requested };
       const answer = await client.call("POST", "/hosts", body, 5000);
       assert.equal(answer.status, status);
-      assert.equal((answer.body as { hosts?: string[] }).hosts?.length ?? 0, got);
+      assert.equal((answer.body as { hosts?: string[] }).hosts?.length ?? 0, granted);
     } finally {
       client.close();
       cloud.stop();
@@ -87,7 +87,7 @@
   });
 }
 
-test("stand-ins: the state service counts what it was asked, by what became of it", async () => {
+test("stand-ins: the state service counts requests and changes by their result", async () => {
   const clock = new FakeClock();
   const state = new StateService(clock, { ops: 4, conditions: 16, valueBytes: 100 });
   const server = new StateServer(state, clock, { rps: 5, writeRps: 3 }, () => 0.5);
@@ -96,13 +96,13 @@
     when: [{ path, stamp }],
     then: [{ write: path, data: "abc" }],
   });
-  const ask = (body: object) => client.call("POST", "/multi", body, 5000);
+  const transact = (body: object) => client.call("POST", "/multi", body, 5000);
   try {
-    assert.equal((await ask(put("a", 0))).status, 200);
-    assert.equal((await ask(put("a", 0))).status, 409);
-    assert.equal((await ask(put("b", 0))).status, 200);
-    // Three changes a second, those whose conditions failed counted.
-    assert.equal((await ask(put("c", 0))).status, 429);
+    assert.equal((await transact(put("a", 0))).status, 200);
+    assert.equal((await transact(put("a", 0))).status, 409);
+    assert.equal((await transact(put("b", 0))).status, 200);
+    // The limit of three changes a second includes transactions whose conditions failed.
+    assert.equal((await transact(put("c", 0))).status, 429);
     assert.equal((await client.call("GET", "/kv/a", undefined, 5000)).status, 200);
     assert.equal((await client.call("GET", "/kv/a", undefined, 5000)).status, 429);
     assert.deepEqual(server.use, {
@@ -120,18 +120,18 @@
   }
 });
 
-test("stand-ins: changes after a revision are told in their order, and none of those before", () => {
+test("stand-ins: only changes after the given revision are returned, in their order", () => {
   const state = new StateService(new FakeClock(), { ops: 4, conditions: 16, valueBytes: 100 });
   for (let n = 1; n <= 6; n++)
     state.transact([], [{ put: n % 2 === 0 ? `w/${n}` : `c/${n}`, value: n }]);
-  const told = (after: number) => state.changes("w/", after)?.map(({ key }) => key);
-  assert.deepEqual(told(0), ["w/2", "w/4", "w/6"]);
-  assert.deepEqual(told(2), ["w/4", "w/6"]);
-  assert.deepEqual(told(6), []);
+  const keysAfter = (after: number) => state.changes("w/", after)?.map(({ key }) => key);
+  assert.deepEqual(keysAfter(0), ["w/2", "w/4", "w/6"]);
+  assert.deepEqual(keysAfter(2), ["w/4", "w/6"]);
+  assert.deepEqual(keysAfter(6), []);
   state.stop();
 });
 
-test("stand-ins: a worker that is started anew has no tasks and a new session", async () => {
+test("stand-ins: a restarted worker has no tasks and a new session", async () => {
   const host: Host = {
     uid: "host-1",
     build: "m4",
@@ -140,7 +140,7 @@
     status: "running",
     rentedAt: 0,
   };
-  const ended: string[] = [];
+  const taskEvents: string[] = [];
   const worker = new Worker({
     clock: systemClock,
     host,
@@ -162,27 +162,32 @@
       stashS: 0,
     }),
     savedProgress: new Map(),
-    onTaskEvent: ({ kind, piece }) => ended.push(`${kind} ${piece}`),
+    onTaskEvent: ({ kind, piece }) => taskEvents.push(`${kind} ${piece}`),
     random: () => 0.5,
   });
   const client = new HttpClient(await worker.start(), 1, systemClock);
   try {
     const orders = [{ verb: "start", piece: "wk-1/0", try: 1 }];
     await client.call("POST", "/orders", { baton: 1, shift: 1, orders }, 5000);
-    while (ended.length === 0) await new Promise((go) => setTimeout(go, 5));
+    while (taskEvents.length === 0) await new Promise((go) => setTimeout(go, 5));
     worker.restart();
-    assert.deepEqual(ended, ["started wk-1/0", "ended wk-1/0"]);
+    assert.deepEqual(taskEvents, ["started wk-1/0", "ended wk-1/0"]);
     assert.equal(worker.tasks.size, 0);
     assert.equal(worker.session, 2);
-    const late = await client.call("POST", "/orders", { baton: 2, shift: 1, orders }, 5000);
-    assert.equal(late.status, 409);
+    const staleResponse = await client.call(
+      "POST",
+      "/orders",
+      { baton: 2, shift: 1, orders },
+      5000,
+    );
+    assert.equal(staleResponse.status, 409);
   } finally {
     client.close();
     worker.stop();
   }
 });
 
-test("stand-ins: settings of a controller are read as they were written", () => {
+test("stand-ins: a generated settings file is parsed back to the same values", () => {
   const node = { name: "n0", zone: "a", listen: "127.0.0.1:1", peer: "127.0.0.1:2" };
   const other = { name: "n1", zone: "b", listen: "127.0.0.1:3", peer: "127.0.0.1:4" };
   const teams = [{ name: "red", cpus: 1.5, cpus_max: 8, gpus: 0, gpus_max: 2 }];
