--- a/src/lab/history.ts
+++ b/src/lab/history.ts
@@ -1,6 +1,6 @@
 /**
- * History of all task starts and ends in a run: checks PROTOCOL's "Rules" and measures how long jobs
- * wait. Several processes send batches of events; they are applied in the order of their times.
+ * History of all task starts and ends in a run: checks PROTOCOL's "Rules" and measures how long
+ * jobs wait. Several processes send batches of events; they are applied in the order of their times.
  */
 import { build, type Histogram } from "hdr-histogram-js";
 import { EPSILON } from "../fair/share.js";
--- a/src/lab/random-source.ts
+++ b/src/lab/random-source.ts
@@ -10,8 +10,7 @@
 
   constructor(seed: number) {
     // d3 takes seeds between 0 and 1. Spreads neighbouring seeds and skips the first values, so
-    // that
-    // their sequences do not start alike.
+    // that their sequences do not start alike.
     this.random = randomLcg(((seed + 1) * 0.618_033_988_75) % 1);
     for (let i = 0; i < 10; i++) this.random();
   }
--- a/src/lab/users.ts
+++ b/src/lab/users.ts
@@ -1,6 +1,6 @@
 /**
- * Users and load balancer of a region. Users submit jobs at random arrival times and poll them until
- * they are finished.
+ * Users and load balancer of a region. Users submit jobs at random arrival times and poll them
+ * until they are finished.
  */
 import { JobClient } from "../client/client.js";
 import { Unanswered } from "../client/retry.js";
--- a/src/local/load-balancer.ts
+++ b/src/local/load-balancer.ts
@@ -21,7 +21,7 @@
     /** Time between two health probes, milliseconds. */
     readonly probeIntervalMs: number,
   ) {
-    super((asked) => this.#forward(asked));
+    super((request) => this.#forward(request));
     this.#nodes = [...nodes].map(([name, address]) => ({
       name,
       client: new HttpClient(address, 64, clock),
--- a/src/local/platform.ts
+++ b/src/local/platform.ts
@@ -77,8 +77,8 @@
 
 /**
  * All services that controllers need, on loopback: a state service, a cloud whose machines run
- * workers, and a load balancer for users. The caller starts the controllers with `settings`, in this
- * process or in others.
+ * workers, and a load balancer for users. The caller starts the controllers with `settings`, in
+ * this process or in others.
  */
 export class Platform {
   readonly state: StateService;
--- a/src/local/state-server.ts
+++ b/src/local/state-server.ts
@@ -52,8 +52,8 @@
     this.#changeLimiter = new RateLimiter(limits.writeRps, limits.writeRps, clock);
   }
 
-  async #handle(received: ServiceRequest): Promise<ServiceResponse | null> {
-    const { method, path } = received;
+  async #handle(request: ServiceRequest): Promise<ServiceResponse | null> {
+    const { method, path } = request;
     if (this.state.outage) return errorResponse(503);
     this.use.requests++;
     if (!this.#requestLimiter.take(1)) {
@@ -61,11 +61,11 @@
       return errorResponse(429);
     }
     try {
-      if (method === "GET" && path === "/kv") return this.#list(received);
+      if (method === "GET" && path === "/kv") return this.#list(request);
       if (method === "GET" && path.startsWith("/kv/")) return this.#get(path.slice(4));
-      if (method === "POST" && path === "/multi") return await this.#transact(received.body);
-      if (method === "GET" && path === "/watch") return await this.#watch(received);
-      if (path.startsWith("/holds")) return this.#leases(method, path, received.body);
+      if (method === "POST" && path === "/multi") return await this.#transact(request.body);
+      if (method === "GET" && path === "/watch") return await this.#watch(request);
+      if (path.startsWith("/holds")) return this.#leases(method, path, request.body);
       return errorResponse(400, "unknown path");
     } catch (error) {
       if (error instanceof NoLease) return errorResponse(400, "no such lease");
@@ -137,11 +137,11 @@
   async #watch({ query }: ServiceRequest): Promise<ServiceResponse> {
     const prefix = query.get("under") ?? "";
     const after = Number(query.get("after") ?? 0);
-    const until = this.clock.now() + Math.min(60_000, Number(query.get("blockMs") ?? 0));
+    const deadline = this.clock.now() + Math.min(60_000, Number(query.get("blockMs") ?? 0));
     for (;;) {
       const log = this.state.changes(prefix, after);
       if (log === null) return errorResponse(410);
-      const remainingMs = until - this.clock.now();
+      const remainingMs = deadline - this.clock.now();
       if (!this.state.outage && (log.length > 0 || remainingMs <= 0)) {
         const events = log.map(({ key, value, version, deleted }) =>
           deleted ? { delete: key, stamp: version } : { write: key, data: value, stamp: version },
--- a/test/loopback.test.ts
+++ b/test/loopback.test.ts
@@ -140,7 +140,7 @@
   await site.start();
   const client = new HttpClient(site.address, 8);
   const market = new MarketClient(site.address);
-  const done = async (uid: string): Promise<boolean> => {
+  const isDone = async (uid: string): Promise<boolean> => {
     const answer = await client.call("GET", `/api/jobs/${uid}`, undefined, 2000).catch(() => null);
     return (answer?.body as { status?: string } | undefined)?.status === "done";
   };
@@ -187,7 +187,7 @@
       }
       await Promise.all([burst(), sleep(2500)]);
     }
-    for (const uid of bulletins) await site.waitUntil(() => done(uid), `${uid} is not done`);
+    for (const uid of bulletins) await site.waitUntil(() => isDone(uid), `${uid} is not done`);
     assert.deepEqual(site.tasksRunTwice(), []);
     const rows = site.platform.state.rows;
     await site.waitUntil(
