--- a/src/submit/index.ts
+++ b/src/submit/index.ts
@@ -1,8 +1,8 @@
 /**
- * HTCondor submit files: read, checked and mapped to jobs on the side of whoever hands them in;
- * matched, held, removed and shown on the side of the controllers. Switched on by the message
- * `submit` in the operators' settings (`deploy/submit.textproto`); `docs/submit.md` says how it
- * works, and what becomes of every command of the file language.
+ * HTCondor submit files. The client reads them, checks them and maps them to jobs; the controllers
+ * match, hold, remove and show these. Enabled by the message `submit` in the operators' settings
+ * (`deploy/submit.textproto`). `docs/submit.md` describes the package and every command of the
+ * file language.
  */
 import {
   type Attachment,
@@ -12,13 +12,13 @@
 } from "../extension/index.js";
 import type { PackageDoor } from "../settings/door.js";
 import { SubmitApi } from "./site/api.js";
-import { Book } from "./site/book.js";
-import { Desk } from "./site/desk.js";
+import { ClusterIndex } from "./site/cluster-index.js";
+import { ClusterReconciler } from "./site/cluster-reconciler.js";
+import { ClusterStore } from "./site/cluster-store.js";
+import { SubmitJobMatcher } from "./site/job-matcher.js";
 import { Matcher } from "./site/matcher.js";
-import { SubmitMatching } from "./site/matching.js";
-import { isCluster, placeOf } from "./site/records.js";
+import { isClusterRecord, parseJobId } from "./site/records.js";
 import { readSettings, type SubmitSettings, schema } from "./site/settings.js";
-import { Steward } from "./site/steward.js";
 
 export {
   type CommandInfo,
@@ -39,19 +39,19 @@
 } from "./map/cluster.js";
 export { type Plan, SPECIAL } from "./map/job.js";
 export { type Analysis, analyze } from "./site/analyze.js";
-export { faultOf } from "./site/job-ads.js";
+export { requestedAction, startLimit } from "./site/cluster-reconciler.js";
+export { matchError } from "./site/job-ads.js";
 export { Matcher } from "./site/matcher.js";
 export { type ClusterRecord, jobId } from "./site/records.js";
 export { type MachineRule, readSettings, type SubmitSettings } from "./site/settings.js";
-export { gateOf, wishOf } from "./site/steward.js";
-export type { Counts, JobView } from "./site/views.js";
+export type { JobView, ProcCounts } from "./site/views.js";
 export { SubmitClient } from "./user/client.js";
 export { type SubmitFileOptions, submitCommands, submitFile } from "./user/commands.js";
 
-const NAME = "submit";
+const PACKAGE_NAME = "submit";
 
 class Submit implements Extension {
-  readonly name = NAME;
+  readonly name = PACKAGE_NAME;
   readonly teams: Extension["teams"] = [];
 
   constructor(
@@ -60,31 +60,39 @@
   ) {}
 
   attach(core: Core): Attachment {
-    core.store.writable.add(/^w\/x\/c\//, isCluster);
-    const book = new Book(core);
-    const desk = new Desk(core, book);
-    const seconds = (): number => Math.floor(core.clock.wall() / 1000);
-    const matcher = new Matcher(this.settings.rules, this.zones, () => core.types(), seconds);
-    // A controller without the package leaves such jobs alone, whatever it takes over; but nothing
-    // of them would start there.
-    const notNow = (): string | null => {
-      const [stranger] = controllersWithoutPackage(NAME, core);
-      return stranger === undefined ? null : `${stranger} does not match expressions`;
+    core.store.writable.add(/^w\/x\/c\//, isClusterRecord);
+    const clusterIndex = new ClusterIndex(core);
+    const clusterStore = new ClusterStore(core, clusterIndex);
+    const nowS = (): number => Math.floor(core.clock.wall() / 1000);
+    const matcher = new Matcher(this.settings.rules, this.zones, () => core.types(), nowS);
+    // A controller without the package does not touch such jobs in the parts it takes over, but it
+    // would not start them either.
+    const unavailableReason = (): string | null => {
+      const [controller] = controllersWithoutPackage(PACKAGE_NAME, core);
+      return controller === undefined ? null : `${controller} does not match expressions`;
     };
-    const api = new SubmitApi(core, this.settings, book, desk, matcher, notNow);
+    const api = new SubmitApi(
+      core,
+      this.settings,
+      clusterIndex,
+      clusterStore,
+      matcher,
+      unavailableReason,
+    );
     return {
       find: api.find,
-      matcher: new SubmitMatching(core, book, desk, matcher),
-      lead: (leading) => new Steward(core, this.settings, book, desk, matcher, leading),
-      // Until a cluster is forgotten, it shows how each of its jobs ended. Which clusters there are
-      // is not known before all keys have been read.
+      matcher: new SubmitJobMatcher(core, clusterIndex, clusterStore, matcher),
+      lead: (term) =>
+        new ClusterReconciler(core, this.settings, clusterIndex, clusterStore, matcher, term),
+      // Headers are kept until the cluster's record is deleted, since its history shows how each
+      // job ended. Which clusters exist is not known before all keys have been read.
       needsHeader: (id) => {
-        const place = placeOf(id);
-        return place !== null && (!core.mirror.ready || book.clusters.has(place.cluster));
+        const jobRef = parseJobId(id);
+        return jobRef !== null && (!core.mirror.ready || clusterIndex.clusters.has(jobRef.cluster));
       },
-      refusalReason: ({ match }) => (match === undefined ? null : notNow()),
+      refusalReason: ({ match }) => (match === undefined ? null : unavailableReason()),
       status: () => ({
-        submit: { clusters: book.clusters.size, evaluations: matcher.evaluations },
+        submit: { clusters: clusterIndex.clusters.size, evaluations: matcher.evaluations },
       }),
     };
   }
--- a/src/submit/site/analyze.ts
+++ b/src/submit/site/analyze.ts
@@ -3,17 +3,17 @@
 import type { MachineType } from "../../wire/cloud.js";
 import type { JobSpec } from "../../wire/jobs.js";
 import { kindAllowed, typeFits } from "../../workers/machine.js";
-import { kindsOf, putRoom } from "./kinds.js";
+import { catalogueKinds, putFreeResources } from "./machine-ads.js";
 import type { Matcher } from "./matcher.js";
 
-/** One clause of a job's requirements against the machines there are. */
+/** How many of the present machines one clause of a job's requirements matches. */
 export interface ClauseView {
   text: string;
   /** Machines for which it is TRUE by itself. */
   alone: number;
   /** Machines for which it and all clauses before it are TRUE. */
   together: number;
-  /** Machines that would match if only this clause were not there, and that do not match now. */
+  /** Machines that do not match, but would without this clause. */
   excludes: number;
   /** Attributes that it reads and that no machine, nor the job, has. */
   unknown: string[];
@@ -21,10 +21,10 @@
 
 export interface Analysis {
   machines: number;
-  /** Machines that type, zone, kind and size leave. */
+  /** Machines whose type, zone, spot kind and size the job allows. */
   fitting: number;
   matching: number;
-  /** Kinds of the catalogue that would match if there were one, and all that there are. */
+  /** Machine kinds of the catalogue: those whose machines would match, and all. */
   kinds: { matching: number; all: number };
   /** Machines whose own `start` is not TRUE for the job. */
   refusing: number;
@@ -34,38 +34,38 @@
 }
 
 /**
- * Why a job does, or does not, match: each clause of its requirements against empty machines of
- * each kind, by how many machines there are of it. A pure function of what it is given.
+ * Why a job does, or does not, match: evaluates each clause of its requirements against an empty
+ * machine of each kind, counted by the present machines of the kind. A pure function.
  */
 export function analyze(
   spec: JobSpec,
   matcher: Matcher,
-  rooms: readonly KindCapacity[],
+  capacities: readonly KindCapacity[],
   types: ReadonlyMap<string, MachineType>,
   zones: readonly string[],
 ): Analysis {
   const job = matcher.jobAd(spec);
-  const parts =
+  const clauseExpressions =
     job.requirements === null
       ? []
       : clauses(job.requirements.node).map((node) => new Expression(node));
-  const views: ClauseView[] = parts.map((part) => ({
+  const views: ClauseView[] = clauseExpressions.map((part) => ({
     text: print(part.node),
     alone: 0,
     together: 0,
     excludes: 0,
     unknown: [],
   }));
-  const seen = parts.map((part) => [...part.reads(job.ad).target]);
-  const known = new Set<string>();
+  const attributesRead = clauseExpressions.map((part) => [...part.reads(job.ad).target]);
+  const knownAttributes = new Set<string>();
   const counts = new Map<string, number>();
-  for (const { type, zone, spot, capacity } of rooms) {
+  for (const { type, zone, spot, capacity } of capacities) {
     const size = types.get(type)?.cpus ?? 0;
     if (size <= 0) continue;
     const key = `${type}/${zone}/${spot}`;
     counts.set(key, (counts.get(key) ?? 0) + Math.round(capacity / size));
   }
-  const out: Analysis = {
+  const analysis: Analysis = {
     machines: 0,
     fitting: 0,
     matching: 0,
@@ -74,39 +74,39 @@
     clauses: views,
     worst: null,
   };
-  for (const { kind, type } of kindsOf(types, zones)) {
+  for (const { kind, type } of catalogueKinds(types, zones)) {
     const count = counts.get(`${kind.type}/${kind.zone}/${kind.spot}`) ?? 0;
-    out.machines += count;
-    out.kinds.all++;
+    analysis.machines += count;
+    analysis.kinds.all++;
     const { ad, start } = matcher.kind(kind)!;
-    putRoom(ad, type);
-    for (const { key } of ad.attributes()) known.add(key);
+    putFreeResources(ad, type);
+    for (const { key } of ad.attributes()) knownAttributes.add(key);
     if (!kindAllowed(spec, kind) || !typeFits(spec, type)) continue;
-    out.fitting += count;
-    const now = { now: matcher.now() };
-    const is = parts.map(
+    analysis.fitting += count;
+    const now = { now: matcher.nowS() };
+    const satisfied = clauseExpressions.map(
       (part) => truth(part.evaluate({ my: job.ad, target: ad }, now).value) === true,
     );
     const starts =
       start === null || truth(start.evaluate({ my: ad, target: job.ad }, now).value) === true;
-    if (!starts) out.refusing += count;
-    const missing = is.filter((one) => !one).length;
+    if (!starts) analysis.refusing += count;
+    const unsatisfied = satisfied.filter((one) => !one).length;
     for (const [i, view] of views.entries()) {
-      if (is[i]) view.alone += count;
-      if (is.slice(0, i + 1).every(Boolean)) view.together += count;
-      if (!is[i] && missing === 1) view.excludes += count;
+      if (satisfied[i]) view.alone += count;
+      if (satisfied.slice(0, i + 1).every(Boolean)) view.together += count;
+      if (!satisfied[i] && unsatisfied === 1) view.excludes += count;
     }
-    if (missing === 0 && starts) {
-      out.matching += count;
-      out.kinds.matching++;
+    if (unsatisfied === 0 && starts) {
+      analysis.matching += count;
+      analysis.kinds.matching++;
     }
   }
   for (const [i, view] of views.entries()) {
-    view.unknown = seen[i]!.filter((name) => !known.has(name));
+    view.unknown = attributesRead[i]!.filter((name) => !knownAttributes.has(name));
   }
   const [worst] = [...views].sort((a, b) => a.alone - b.alone);
-  if (worst !== undefined && worst.alone < out.fitting) out.worst = worst.text;
-  else if (worst !== undefined && out.fitting === 0 && worst.unknown.length > 0)
-    out.worst = worst.text;
-  return out;
+  if (worst !== undefined && worst.alone < analysis.fitting) analysis.worst = worst.text;
+  else if (worst !== undefined && analysis.fitting === 0 && worst.unknown.length > 0)
+    analysis.worst = worst.text;
+  return analysis;
 }
--- a/src/submit/site/book.ts
+++ b/src/submit/site/cluster-index.ts
@@ -1,52 +1,52 @@
 import type { Core } from "../../extension/index.js";
 import { isHeader, type JobHeader } from "../../jobs/job-header.js";
 import { keys as coreKeys } from "../../state/keys.js";
-import { type ClusterRecord, isCluster, jobId, keys, placeOf } from "./records.js";
+import { type ClusterRecord, isClusterRecord, jobId, keys, parseJobId } from "./records.js";
 
 export interface Versioned<T> {
   value: T;
   version: number;
 }
 
-/** What can be seen of one job of a cluster. */
+/** One job of a cluster, with its header if the job has been submitted. */
 export interface JobState {
   index: number;
   id: string;
   header: JobHeader | null;
 }
 
-/** All clusters, as the watch tells of them; nothing else writes here. */
-export class Book {
+/** In-memory index of all clusters, kept up to date only by the watch on the state service. */
+export class ClusterIndex {
   readonly clusters = new Map<number, Versioned<ClusterRecord>>();
-  /** Clusters of which something has changed since the leader last looked at them. */
-  readonly touched = new Set<number>();
-  readonly #byName = new Map<string, number>();
+  /** Clusters whose record or jobs changed since the leader last reconciled them. */
+  readonly changed = new Set<number>();
+  readonly #idByName = new Map<string, number>();
 
   constructor(readonly core: Core) {
     core.mirror.on(keys.clusters, ({ key, value, version }) => {
       const id = Number(key.slice(keys.clusters.length));
-      if (isCluster(value)) {
-        this.touched.add(id);
+      if (isClusterRecord(value)) {
+        this.changed.add(id);
         this.clusters.set(id, { value, version });
-        this.#byName.set(value.name, id);
+        this.#idByName.set(value.name, id);
         return;
       }
       const known = this.clusters.get(id);
-      if (known !== undefined) this.#byName.delete(known.value.name);
+      if (known !== undefined) this.#idByName.delete(known.value.name);
       this.clusters.delete(id);
-      this.touched.delete(id);
+      this.changed.delete(id);
     });
     core.mirror.on(coreKeys.job("wk-c"), ({ key }) => {
-      const place = placeOf(key.slice(coreKeys.job("").length));
-      if (place !== null && this.clusters.has(place.cluster)) this.touched.add(place.cluster);
+      const place = parseJobId(key.slice(coreKeys.job("").length));
+      if (place !== null && this.clusters.has(place.cluster)) this.changed.add(place.cluster);
     });
   }
 
-  byName(name: string): number | null {
-    return this.#byName.get(name) ?? null;
+  idByName(name: string): number | null {
+    return this.#idByName.get(name) ?? null;
   }
 
-  /** A job's header, as far as this controller has heard. */
+  /** A job's header as this controller's mirror has it; null if it has none. */
   header(id: string): JobHeader | null {
     const row = this.core.mirror.rows.get(coreKeys.job(id));
     return row !== undefined && isHeader(row.value) ? row.value : null;
@@ -60,8 +60,8 @@
   }
 }
 
-/** Whether nothing of a cluster can run any more. */
-export const isOver = (record: ClusterRecord, jobs: readonly JobState[]): boolean =>
+/** Whether no job of the cluster can run any more. */
+export const isClusterFinished = (record: ClusterRecord, jobs: readonly JobState[]): boolean =>
   record.state !== "open" &&
   jobs.every(({ header }) =>
     header === null ? record.state === "removed" : header.status !== "open",
--- a/src/submit/site/desk.ts
+++ b/src/submit/site/cluster-store.ts
@@ -3,42 +3,42 @@
 import { isHeader } from "../../jobs/job-header.js";
 import { keys as coreKeys } from "../../state/keys.js";
 import type { Condition, Row } from "../../state/store.js";
-import type { Book, Versioned } from "./book.js";
-import { type ClusterRecord, isCluster, keys } from "./records.js";
+import type { ClusterIndex, Versioned } from "./cluster-index.js";
+import { type ClusterRecord, isClusterRecord, keys } from "./records.js";
 
-/** Changes that lose against another writer are tried anew from what that one wrote. */
-const TRIES = 5;
+/** A write that conflicts with another writer is retried from the newer version. */
+const MAX_ATTEMPTS = 5;
 
-/** Reads and writes clusters and their jobs, each write on condition of what it was decided from. */
-export class Desk {
+/** Reads and writes clusters and their jobs. Each write is conditional on the version it was derived from. */
+export class ClusterStore {
   constructor(
     readonly core: Core,
-    readonly book: Book,
+    readonly clusterIndex: ClusterIndex,
   ) {}
 
-  /** The newest record, from the store itself. */
+  /** Reads the newest record from the state service. */
   async read(id: number): Promise<Versioned<ClusterRecord> | null> {
     const row = await this.core.store.get(keys.cluster(id));
-    if (row === null || !isCluster(row.value)) return null;
+    if (row === null || !isClusterRecord(row.value)) return null;
     this.core.mirror.apply({ ...row, deleted: false });
     return { value: row.value, version: row.version };
   }
 
   /**
-   * Changes a record; `change` gives the next one, or null to leave it. Returns the record as it is
-   * then, null when there is none. `guard`: what else has to hold, such as the leader's claim; who
-   * has one has taken the first write from the budget.
+   * Updates a record: `change` returns the next one, or null to leave it unchanged. Returns the
+   * record afterwards, or null if there is none. `guard`: further conditions, such as the leader's
+   * claim; a caller that passes one has already taken the first write from the rate limiter.
    */
-  async change(
+  async update(
     id: number,
     change: (record: ClusterRecord) => ClusterRecord | null,
     guard: readonly Condition[] = [],
   ): Promise<ClusterRecord | null> {
     const { store, mirror } = this.core;
-    let known = this.book.clusters.get(id) ?? (await this.read(id));
-    for (let attempt = 0; attempt < TRIES && known !== null; attempt++) {
+    let known = this.clusterIndex.clusters.get(id) ?? (await this.read(id));
+    for (let attempt = 0; attempt < MAX_ATTEMPTS && known !== null; attempt++) {
       const next = change(known.value);
-      // What is decided from a record that may be old is checked before anyone is told.
+      // The record may be stale: checks that it is the newest before reporting that nothing changes.
       if (next === null) {
         const newest = attempt > 0 ? known : await this.read(id);
         if (newest === null || newest.version === known.version) return newest?.value ?? null;
@@ -59,14 +59,19 @@
       known = await this.read(id);
     }
     if (known === null) return null;
-    throw new Error("changed by others again and again");
+    throw new Error(
+      `cluster ${id} not updated: ${MAX_ATTEMPTS} attempts conflicted with other writes`,
+    );
   }
 
-  /** Cancels a job if it is there and open; says whether it is over then. `paid`: out of the budget. */
+  /**
+   * Cancels a job if it exists and is open. Returns whether it is finished afterwards.
+   * `writesCharged`: the caller has already taken the writes from the rate limiter.
+   */
   async cancel(id: string, paid = false): Promise<boolean> {
     const { store, mirror } = this.core;
     let row: Pick<Row, "value" | "version"> | null = mirror.rows.get(coreKeys.job(id)) ?? null;
-    for (let attempt = 0; attempt < TRIES; attempt++) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       if (row === null || attempt > 0) row = await store.get(coreKeys.job(id));
       if (row === null || !isHeader(row.value)) return false;
       if (row.value.status !== "open") return true;
@@ -79,8 +84,8 @@
     return false;
   }
 
-  /** Whether a job has been taken, by the newest that can be known. */
-  async taken(id: string): Promise<boolean> {
+  /** Whether a job has been submitted: reads the state service unless the mirror has the job. */
+  async isSubmitted(id: string): Promise<boolean> {
     const { store, mirror } = this.core;
     if (mirror.rows.has(coreKeys.job(id))) return true;
     return (await store.get(coreKeys.job(id))) !== null;
--- a/src/submit/site/job-ads.ts
+++ b/src/submit/site/job-ads.ts
@@ -1,54 +1,55 @@
 import { Ad, ClassAdError, Expression, type Reads, reads } from "../../classad/index.js";
 import type { JobSpec, Match } from "../../wire/jobs.js";
-import { CHANGING } from "./kinds.js";
+import { FREE_RESOURCE_ATTRIBUTES } from "./machine-ads.js";
 import type { MachineRule } from "./settings.js";
 
-/** A job's side of matching, compiled once for all jobs that are alike in it. */
+/** A job's ad and expressions, compiled once for all equivalent jobs, with cached match results. */
 export interface JobAd {
   ad: Ad;
   requirements: Expression | null;
   rank: Expression | null;
-  /** Whether answers change with what is free on a machine, or with time. */
-  byRoom: boolean;
-  byTime: boolean;
-  /** By the kind's number. Emptied when what it was found from changes. */
-  answers: (number | null | undefined)[];
-  /** The same by kind and room, where answers depend on it. Emptied when it is full. */
-  readonly byRoomAnswers: Map<string, number | null>;
-  answersAt: number;
-  /** Whether some kind of machine could take it; null when that has to be found. */
-  prospect: boolean | null;
-  /** Not before this moment, seconds since the epoch; for how long a task may run; failures. */
-  readonly after: number | null;
-  readonly mostMs: number | null;
-  readonly retries: number | null;
-  /** Whether the leader has to look at it now and then. */
-  readonly watched: boolean;
-  /** Short, since it becomes part of many keys. Never given to another one. */
-  readonly name: string;
+  /** Whether match results depend on a machine's free resources, or on time. */
+  dependsOnFreeResources: boolean;
+  dependsOnTime: boolean;
+  /** Rank by index of machine kind; null: no match. Cleared when `cacheVersion` changes. */
+  rankByKind: (number | null | undefined)[];
+  /** The same by kind and free resources, for jobs that depend on them. Also cleared when full. */
+  readonly rankByFreeResources: Map<string, number | null>;
+  cacheVersion: number;
+  /** Whether some kind of machine could match; null: not computed yet. */
+  canMatch: boolean | null;
+  /** Earliest start, seconds since the epoch; longest run of a task; failures in a row allowed. */
+  readonly deferredUntilS: number | null;
+  readonly maxRunMs: number | null;
+  readonly maxRetries: number | null;
+  /** Whether the leader must evaluate it periodically. */
+  readonly hasPeriodicChecks: boolean;
+  /** Equal for equivalent jobs. Short, since it is part of many keys; never reused. */
+  readonly equivalenceKey: string;
 }
 
-interface Changing {
-  names: ReadonlySet<string>;
-  /** Whether machines' own expressions change with their room. */
-  start: boolean;
-  time: boolean;
+interface ChangingAttributes {
+  attributes: ReadonlySet<string>;
+  /** Whether machines' `start` expressions depend on free resources. */
+  startDependsOnThem: boolean;
+  dependsOnTime: boolean;
 }
 
 /**
- * Ads and expressions that are kept for the next job that is alike; live jobs keep their own. One that
- * is compiled anew has another name, which only tells alike jobs apart.
+ * Most ads and expressions cached for later equivalent jobs; the specs of open jobs keep their own.
+ * An evicted ad that is compiled again gets another `equivalenceKey`; the only effect is that
+ * equivalent jobs are then treated as different.
  */
-const MOST_KEPT = 512;
+const MAX_CACHED = 512;
 const MB_PER_GB = 1024;
 
-/** The ads of jobs, compiled, each kept as long as its job lives. */
+/** Compiled ads of jobs, each kept at least as long as its job's spec is referenced. */
 export class JobAds {
   readonly #bySpec = new WeakMap<JobSpec, JobAd>();
-  readonly #ads = new Map<string, JobAd>();
-  readonly #expressions = new Map<string, Expression>();
-  #named = 0;
-  #found: Changing | null = null;
+  readonly #cache = new Map<string, JobAd>();
+  readonly #expressionCache = new Map<string, Expression>();
+  #compiledCount = 0;
+  #changingAttributes: ChangingAttributes | null = null;
 
   constructor(readonly rules: readonly MachineRule[]) {}
 
@@ -57,14 +58,14 @@
     let known = this.#bySpec.get(spec);
     if (known !== undefined) return known;
     const match = spec.match!;
-    // All that machines' answers depend on: their own expressions read the job's as well.
+    // Everything that match results depend on: machines' `start` expressions read the job's attributes too.
     const { cpus, gpus, memGb, team, spot, zone } = spec;
     const key = JSON.stringify([match, cpus, gpus, memGb, team, spot, zone]);
-    known = this.#ads.get(key);
+    known = this.#cache.get(key);
     if (known === undefined) {
       known = this.#compile(match, spec);
-      if (this.#ads.size >= MOST_KEPT) this.#ads.delete(this.#ads.keys().next().value!);
-      this.#ads.set(key, known);
+      if (this.#cache.size >= MAX_CACHED) this.#cache.delete(this.#cache.keys().next().value!);
+      this.#cache.set(key, known);
     }
     this.#bySpec.set(spec, known);
     return known;
@@ -79,79 +80,80 @@
       .put("MyType", "Job");
     const requirements = this.#expression(match.requirements);
     const rank = this.#expression(match.rank);
-    const changing = this.#changing();
-    let byRoom = changing.start;
-    let byTime = false;
+    const changing = this.#findChangingAttributes();
+    let dependsOnFreeResources = changing.startDependsOnThem;
+    let dependsOnTime = false;
     for (const expression of [requirements, rank]) {
       if (expression === null) continue;
       const { target, time, anything } = expression.reads(ad);
-      byTime ||= time || anything;
-      byRoom ||= anything || [...target].some((name) => changing.names.has(name));
+      dependsOnTime ||= time || anything;
+      dependsOnFreeResources ||=
+        anything || [...target].some((name) => changing.attributes.has(name));
     }
     return {
       ad,
       requirements,
       rank,
-      byRoom,
-      byTime: byTime || changing.time,
-      answers: [],
-      byRoomAnswers: new Map(),
-      answersAt: 0,
-      prospect: null,
-      after: wholeIn(ad, "deferraltime"),
-      mostMs: scaled(wholeIn(ad, "allowedexecuteduration"), 1000),
-      retries: wholeIn(ad, "jobmaxretries"),
-      watched: WATCHED.some((name) => ad.has(name)),
-      name: `a${++this.#named}`,
+      dependsOnFreeResources,
+      dependsOnTime: dependsOnTime || changing.dependsOnTime,
+      rankByKind: [],
+      rankByFreeResources: new Map(),
+      cacheVersion: 0,
+      canMatch: null,
+      deferredUntilS: integerAttribute(ad, "deferraltime"),
+      maxRunMs: scaled(integerAttribute(ad, "allowedexecuteduration"), 1000),
+      maxRetries: integerAttribute(ad, "jobmaxretries"),
+      hasPeriodicChecks: PERIODIC_ATTRIBUTES.some((name) => ad.has(name)),
+      equivalenceKey: `a${++this.#compiledCount}`,
     };
   }
 
-  /** Compiled once for all jobs with the text, of whatever cluster. */
+  /** Compiles a text once for all jobs of all clusters that have it. */
   #expression(text: string): Expression | null {
     if (text === "") return null;
-    let known = this.#expressions.get(text);
+    let known = this.#expressionCache.get(text);
     if (known === undefined) {
       known = Expression.parse(text);
-      if (this.#expressions.size >= MOST_KEPT) {
-        this.#expressions.delete(this.#expressions.keys().next().value!);
+      if (this.#expressionCache.size >= MAX_CACHED) {
+        this.#expressionCache.delete(this.#expressionCache.keys().next().value!);
       }
-      this.#expressions.set(text, known);
+      this.#expressionCache.set(text, known);
     }
     return known;
   }
 
   /**
-   * Attributes of machines that change with their room, also through what operators say of them, in
-   * whatever rule: found once, since rules do not change.
+   * Machine attributes that depend on free resources, directly or through operators' attributes in
+   * any rule. Computed once, since rules do not change.
    */
-  #changing(): Changing {
-    if (this.#found !== null) return this.#found;
-    const names = new Set(CHANGING);
-    const said = this.rules.flatMap((rule) =>
+  #findChangingAttributes(): ChangingAttributes {
+    if (this.#changingAttributes !== null) return this.#changingAttributes;
+    const names = new Set(FREE_RESOURCE_ATTRIBUTES);
+    const operatorAttributes = this.rules.flatMap((rule) =>
       [...rule.attributes.attributes()].map(({ key, node }) => ({ key, ...reads(node, null) })),
     );
-    const changes = ({ target, anything }: Pick<Reads, "target" | "anything">): boolean =>
+    const isChanging = ({ target, anything }: Pick<Reads, "target" | "anything">): boolean =>
       anything || [...target].some((name) => names.has(name));
-    for (let before = 0; before < names.size; ) {
-      before = names.size;
-      for (const one of said) if (changes(one)) names.add(one.key);
+    for (let previousSize = 0; previousSize < names.size; ) {
+      previousSize = names.size;
+      for (const one of operatorAttributes) if (isChanging(one)) names.add(one.key);
     }
-    const starts = this.rules.flatMap(({ start }) =>
+    const startReads = this.rules.flatMap(({ start }) =>
       start === null ? [] : [reads(start.node, null)],
     );
-    this.#found = {
-      names,
-      start: starts.some(changes),
-      time: [...said, ...starts].some(({ time }) => time),
+    this.#changingAttributes = {
+      attributes: names,
+      startDependsOnThem: startReads.some(isChanging),
+      dependsOnTime: [...operatorAttributes, ...startReads].some(({ time }) => time),
     };
-    return this.#found;
+    return this.#changingAttributes;
   }
 }
 
-/** Attributes of a job that the leader acts on. */
-const WATCHED = ["PeriodicRemove", "PeriodicHold", "PeriodicRelease", "DeferralWindow"];
+/** Attributes of a job that the leader evaluates periodically. */
+const PERIODIC_ATTRIBUTES = ["PeriodicRemove", "PeriodicHold", "PeriodicRelease", "DeferralWindow"];
 
-function wholeIn(ad: Ad, key: string): number | null {
+function integerAttribute(ad: Ad, key: string): number | null {
   const node = ad.get(key)?.node;
   return node?.kind === "literal" && typeof node.value === "bigint" ? Number(node.value) : null;
 }
@@ -159,8 +161,8 @@
 const scaled = (value: number | null, by: number): number | null =>
   value === null ? null : value * by;
 
-/** What is wrong with a job's texts; null when all of them parse and all functions exist. */
-export function faultOf(match: Match): string | null {
+/** The first error in a job's ad or expressions; null if all parse and all functions exist. */
+export function matchError(match: Match): string | null {
   const texts = { ad: match.ad, requirements: match.requirements, rank: match.rank };
   for (const [field, text] of Object.entries(texts)) {
     if (text === "") continue;
--- a/src/submit/site/kinds.ts
+++ b/src/submit/site/machine-ads.ts
@@ -3,49 +3,49 @@
 import type { MachineKind, Resources } from "../../workers/machine.js";
 import type { MachineRule } from "./settings.js";
 
-/** Attributes that change with what runs on a machine. */
-export const CHANGING: ReadonlySet<string> = new Set(["cpus", "memory", "gpus"]);
+/** Attributes (lower case) that depend on what runs on a machine. */
+export const FREE_RESOURCE_ATTRIBUTES: ReadonlySet<string> = new Set(["cpus", "memory", "gpus"]);
 
 const MB_PER_GB = 1024;
 
-/** All machines of one type, zone and kind, which differ only in their room. */
-export interface KindAd {
+/** The ad shared by all machines of one type, zone and spot kind, which differ only in their free resources. */
+export interface MachineKindAd {
   ad: Ad;
   start: Expression | null;
 }
 
-const whole = (value: number): bigint => BigInt(Math.floor(value + 1e-6));
+const floorToInteger = (value: number): bigint => BigInt(Math.floor(value + 1e-6));
 
-/** CPUs may be parts of one; HTCondor has whole ones, so a whole number is an integer. */
-const amount = (value: number): bigint | number =>
+/** CPU counts may be fractions. HTCondor's are integers, so whole numbers become integers. */
+const adNumber = (value: number): bigint | number =>
   Math.abs(value - Math.round(value)) < 1e-6 ? BigInt(Math.round(value)) : value;
 
-/** Writes what is free there into a machine's ad. */
-export function putRoom(ad: Ad, room: Resources): void {
-  ad.put("Cpus", amount(room.cpus));
-  ad.put("Memory", whole(room.memGb * MB_PER_GB));
-  ad.put("GPUs", amount(room.gpus));
+/** Sets a machine's free resources in its ad. */
+export function putFreeResources(ad: Ad, free: Resources): void {
+  ad.put("Cpus", adNumber(free.cpus));
+  ad.put("Memory", floorToInteger(free.memGb * MB_PER_GB));
+  ad.put("GPUs", adNumber(free.gpus));
 }
 
-/** Without what is free: expressions that need it are UNDEFINED. */
-export function dropRoom(ad: Ad): void {
-  for (const key of CHANGING) ad.delete(key);
+/** Deletes the free resources, so that expressions that need them are UNDEFINED. */
+export function deleteFreeResources(ad: Ad): void {
+  for (const key of FREE_RESOURCE_ATTRIBUTES) ad.delete(key);
 }
 
-/** The ad of machines of a kind: what the program knows, then what operators say, later rules last. */
-export function kindAd(
+/** The ad of a machine kind: the program's attributes, then operators' rules in order; later ones override. */
+export function machineKindAd(
   kind: MachineKind,
   type: MachineType,
   rules: readonly MachineRule[],
-): KindAd {
+): MachineKindAd {
   const ad = new Ad()
     .put("MyType", "Machine")
     .put("MachineType", kind.type)
     .put("Zone", kind.zone)
     .put("Spot", kind.spot)
-    .put("TotalCpus", amount(type.cpus))
-    .put("TotalMemory", whole(type.memGb * MB_PER_GB))
-    .put("TotalGPUs", amount(type.gpus));
+    .put("TotalCpus", adNumber(type.cpus))
+    .put("TotalMemory", floorToInteger(type.memGb * MB_PER_GB))
+    .put("TotalGPUs", adNumber(type.gpus));
   const starts: Node[] = [];
   for (const rule of rules) {
     if (rule.type !== null && rule.type !== kind.type) continue;
@@ -60,8 +60,8 @@
   return { ad, start: new Expression(start) };
 }
 
-/** Every kind of machine that there may be, as the catalogue says. */
-export function* kindsOf(
+/** Every kind of machine that the catalogue allows. */
+export function* catalogueKinds(
   types: ReadonlyMap<string, MachineType>,
   zones: readonly string[],
 ): Generator<{ kind: MachineKind; type: MachineType }> {
--- a/src/submit/site/matcher.ts
+++ b/src/submit/site/matcher.ts
@@ -11,11 +11,17 @@
 import type { JobSpec } from "../../wire/jobs.js";
 import { kindAllowed, type MachineKind, type Resources, typeFits } from "../../workers/machine.js";
 import { type JobAd, JobAds } from "./job-ads.js";
-import { dropRoom, type KindAd, kindAd, kindsOf, putRoom } from "./kinds.js";
+import {
+  catalogueKinds,
+  deleteFreeResources,
+  type MachineKindAd,
+  machineKindAd,
+  putFreeResources,
+} from "./machine-ads.js";
 import type { MachineRule } from "./settings.js";
 
-/** A kind's ad, with a number that is its place in what is kept for each job. */
-class Kind implements KindAd {
+/** The ad of a machine kind, with the kind's index in each job's `rankByKind`. */
+class CachedKind implements MachineKindAd {
   readonly ad: Ad;
   readonly start: Expression | null;
   readonly #type: string;
@@ -25,8 +31,8 @@
   constructor(
     { type: name, zone, spot }: MachineKind,
     readonly type: MachineType,
-    { ad, start }: KindAd,
-    readonly number: number,
+    { ad, start }: MachineKindAd,
+    readonly index: number,
     readonly epoch: number,
   ) {
     this.ad = ad;
@@ -36,74 +42,82 @@
     this.#spot = spot;
   }
 
-  is({ type, zone, spot }: MachineKind): boolean {
+  describes({ type, zone, spot }: MachineKind): boolean {
     return type === this.#type && zone === this.#zone && spot === this.#spot;
   }
 }
 
-const NOWHERE: MachineKind = { type: "", zone: "", spot: false };
+const NO_KIND: MachineKind = { type: "", zone: "", spot: false };
 
-/** Answers kept for one job's ad: kinds, times the rooms that their machines have at a time. */
-const MOST_ANSWERS = 4096;
+/** Most ranks cached for one job ad: machine kinds times the different free resources of their machines. */
+const MAX_CACHED_RANKS = 4096;
 
 /**
- * Says which machines a job with expressions may use and how much it likes them. Pure but for what
- * it keeps: an expression is evaluated once for all machines of a type, zone and kind, and again
- * only for what changes.
+ * Decides which machines a job with expressions may use, and ranks them. Pure except for its caches:
+ * an expression is evaluated once for all machines of a type, zone and spot kind, and again only
+ * when something that it depends on changes.
  */
 export class Matcher {
-  readonly #jobs: JobAds;
-  /** By type and zone: of machines that stay, and of those that the cloud may take. */
-  readonly #kinds = new Map<string, Map<string, [Kind | null, Kind | null]>>();
-  #numbers = 0;
+  readonly #jobAds: JobAds;
+  /** By type and zone: the kinds of on-demand and of spot machines. */
+  readonly #kinds = new Map<string, Map<string, [CachedKind | null, CachedKind | null]>>();
+  #kindCount = 0;
   #types: ReadonlyMap<string, MachineType> | null = null;
   #epoch = 0;
-  /** How many expressions have been evaluated. */
+  /** Number of expressions evaluated so far. */
   evaluations = 0;
 
   constructor(
     readonly rules: readonly MachineRule[],
     readonly zones: readonly string[],
     readonly types: () => ReadonlyMap<string, MachineType>,
-    /** Seconds since the epoch, as `time()` says it. */
-    readonly now: () => number,
+    /** The value of `time()`: seconds since the epoch. */
+    readonly nowS: () => number,
   ) {
-    this.#jobs = new JobAds(rules);
+    this.#jobAds = new JobAds(rules);
   }
 
   /** @throws ClassAdError for text that does not parse */
   jobAd(spec: JobSpec): JobAd {
-    return this.#jobs.of(spec);
+    return this.#jobAds.of(spec);
   }
 
-  /** The same for jobs that all machines answer alike; null when the answer changes. */
-  likeOf(spec: JobSpec): string | null {
-    const { byRoom, byTime, name } = this.jobAd(spec);
-    return byRoom || byTime ? null : name;
+  /** Equal for jobs with the same match results on all machines; null if the results change. */
+  equivalenceKey(spec: JobSpec): string | null {
+    const { dependsOnFreeResources, dependsOnTime, equivalenceKey: name } = this.jobAd(spec);
+    return dependsOnFreeResources || dependsOnTime ? null : name;
   }
 
-  /** The ad of a kind of machine; null for a type that the catalogue does not have. */
-  kind(on: MachineKind): Kind | null {
+  /** The cached ad of a machine kind; null if the catalogue does not have its type. */
+  kind(on: MachineKind): CachedKind | null {
     const types = this.types();
     if (types !== this.#types) {
       this.#types = types;
       this.#kinds.clear();
-      this.#numbers = 0;
+      this.#kindCount = 0;
       this.#epoch++;
     }
-    // Asked for every machine in a pass.
-    const { matcherCache: slot } = on;
-    if (slot instanceof Kind && slot.epoch === this.#epoch && slot.is(on)) return slot;
+    // Called for every machine in a scheduling pass.
+    const { matcherCache: cached } = on;
+    if (cached instanceof CachedKind && cached.epoch === this.#epoch && cached.describes(on))
+      return cached;
     const known = this.#kinds.get(on.type)?.get(on.zone)?.[on.spot ? 1 : 0];
     const kind = known ?? this.#newKind(on, types.get(on.type));
-    if (slot !== undefined) on.matcherCache = kind;
+    if (cached !== undefined) on.matcherCache = kind;
     return kind;
   }
 
-  #newKind(on: MachineKind, type: MachineType | undefined): Kind | null {
+  #newKind(on: MachineKind, type: MachineType | undefined): CachedKind | null {
     if (type === undefined) return null;
-    const kind = new Kind(on, type, kindAd(on, type, this.rules), this.#numbers++, this.#epoch);
-    const zones = this.#kinds.get(on.type) ?? new Map<string, [Kind | null, Kind | null]>();
+    const kind = new CachedKind(
+      on,
+      type,
+      machineKindAd(on, type, this.rules),
+      this.#kindCount++,
+      this.#epoch,
+    );
+    const zones =
+      this.#kinds.get(on.type) ?? new Map<string, [CachedKind | null, CachedKind | null]>();
     this.#kinds.set(on.type, zones);
     const pair = zones.get(on.zone) ?? [null, null];
     zones.set(on.zone, pair);
@@ -111,63 +125,64 @@
     return kind;
   }
 
-  /** The machine's whole room when `room` is null. Null: not there; else the rank. */
-  rank(spec: JobSpec, on: MachineKind, room: Resources | null): number | null {
-    return this.ranking(spec)(on, room);
+  /** The job's rank of a machine, or null if it does not match. `free` null: as on an empty machine. */
+  rank(spec: JobSpec, on: MachineKind, free: Resources | null): number | null {
+    return this.rankerFor(spec)(on, free);
   }
 
-  /** For all machines of a pass: what does not depend on the machine is found once. */
-  ranking(spec: JobSpec): (on: MachineKind, room: Resources | null) => number | null {
+  /** A rank function for all machines of a pass, so that work independent of the machine is done once. */
+  rankerFor(spec: JobSpec): (on: MachineKind, free: Resources | null) => number | null {
     const job = this.jobAd(spec);
-    // Notices when the catalogue has changed.
-    this.kind(NOWHERE);
-    this.#refresh(job);
-    const { answers } = job;
+    // Detects a changed catalogue.
+    this.kind(NO_KIND);
+    this.#invalidateIfChanged(job);
+    const { rankByKind } = job;
     const epoch = this.#epoch;
-    return (on, room) => {
-      const { matcherCache: slot } = on;
-      const here = slot instanceof Kind && slot.epoch === epoch && slot.is(on);
-      const kind = here ? slot : this.kind(on);
+    return (on, free) => {
+      const { matcherCache: cached } = on;
+      const isCurrent =
+        cached instanceof CachedKind && cached.epoch === epoch && cached.describes(on);
+      const kind = isCurrent ? cached : this.kind(on);
       if (kind === null) return null;
-      const known = answers[kind.number];
-      return known === undefined ? this.#ask(job, kind, room ?? kind.type) : known;
+      const known = rankByKind[kind.index];
+      return known === undefined ? this.#cachedRank(job, kind, free ?? kind.type) : known;
     };
   }
 
-  #ask(job: JobAd, kind: Kind, free: Resources): number | null {
-    if (!job.byRoom) {
-      putRoom(kind.ad, free);
-      const answer = this.#evaluate(job, kind);
-      job.answers[kind.number] = answer;
-      return answer;
+  #cachedRank(job: JobAd, kind: CachedKind, free: Resources): number | null {
+    if (!job.dependsOnFreeResources) {
+      putFreeResources(kind.ad, free);
+      const kindRank = this.#evaluate(job, kind);
+      job.rankByKind[kind.index] = kindRank;
+      return kindRank;
     }
-    const key = `${kind.number}/${free.cpus}/${free.gpus}/${free.memGb}`;
-    let answer = job.byRoomAnswers.get(key);
-    if (answer === undefined) {
-      if (job.byRoomAnswers.size >= MOST_ANSWERS) job.byRoomAnswers.clear();
-      putRoom(kind.ad, free);
-      answer = this.#evaluate(job, kind);
-      job.byRoomAnswers.set(key, answer);
+    const key = `${kind.index}/${free.cpus}/${free.gpus}/${free.memGb}`;
+    let kindRank = job.rankByFreeResources.get(key);
+    if (kindRank === undefined) {
+      if (job.rankByFreeResources.size >= MAX_CACHED_RANKS) job.rankByFreeResources.clear();
+      putFreeResources(kind.ad, free);
+      kindRank = this.#evaluate(job, kind);
+      job.rankByFreeResources.set(key, kindRank);
     }
-    return answer;
+    return kindRank;
   }
 
-  /** What was found from other types, or in another second, is found anew. */
-  #refresh(job: JobAd): void {
-    const at = this.#epoch * 2 ** 40 + (job.byTime ? this.now() : 0);
-    if (at === job.answersAt) return;
-    job.answersAt = at;
-    job.answers = [];
-    job.byRoomAnswers.clear();
-    job.prospect = null;
+  /** Clears cached results if the catalogue has changed or, for a job that depends on time, the second. */
+  #invalidateIfChanged(job: JobAd): void {
+    const version = this.#epoch * 2 ** 40 + (job.dependsOnTime ? this.nowS() : 0);
+    if (version === job.cacheVersion) return;
+    job.cacheVersion = version;
+    job.rankByKind = [];
+    job.rankByFreeResources.clear();
+    job.canMatch = null;
   }
 
   #value(expression: Expression, my: Ad, target: Ad): Value {
     this.evaluations++;
-    return expression.evaluate({ my, target }, { now: this.now() }).value;
+    return expression.evaluate({ my, target }, { now: this.nowS() }).value;
   }
 
-  #evaluate(job: JobAd, { ad, start }: KindAd): number | null {
+  #evaluate(job: JobAd, { ad, start }: MachineKindAd): number | null {
     if (job.requirements !== null && truth(this.#value(job.requirements, job.ad, ad)) !== true) {
       return null;
     }
@@ -175,54 +190,55 @@
     if (job.rank === null) return 0;
     const rank = this.#value(job.rank, job.ad, ad);
     if (typeof rank === "boolean") return rank ? 1 : 0;
-    // What is not a number counts 0, as HTCondor has it.
+    // A rank that is not a number counts as 0, as in HTCondor.
     if (!isNumber(rank) || Number.isNaN(Number(rank))) return 0;
     return Number(rank);
   }
 
   /**
-   * Whether some machine of the catalogue could take a task: as it comes, or with some other room,
-   * that is, where it is not certain that the expressions are FALSE or ERROR whatever is free.
+   * Whether some machine of the catalogue could run a task: when empty, or with other free
+   * resources, unless the expressions are certainly FALSE or ERROR whatever is free.
    */
   prospect(spec: JobSpec): boolean {
     const job = this.jobAd(spec);
-    this.kind(NOWHERE);
-    this.#refresh(job);
-    job.prospect ??= this.#prospect(spec, job);
-    return job.prospect;
+    this.kind(NO_KIND);
+    this.#invalidateIfChanged(job);
+    job.canMatch ??= this.#findMatch(spec, job);
+    return job.canMatch;
   }
 
-  #prospect(spec: JobSpec, job: JobAd): boolean {
-    for (const { kind, type } of kindsOf(this.types(), this.zones)) {
+  #findMatch(spec: JobSpec, job: JobAd): boolean {
+    for (const { kind, type } of catalogueKinds(this.types(), this.zones)) {
       if (!kindAllowed(spec, kind) || !typeFits(spec, type)) continue;
       if (this.rank(spec, kind, null) !== null) return true;
-      if (job.byRoom && this.#open(job, this.kind(kind)!)) return true;
+      if (job.dependsOnFreeResources && this.#mayMatchWhenPartlyFree(job, this.kind(kind)!))
+        return true;
     }
     return false;
   }
 
-  /** For whoever handed in a job without prospect: the first clause that no machine fulfils. */
-  whyNever(spec: JobSpec): string {
+  /** Why a job can never match, for its user: the first clause that no machine fulfils. */
+  mismatchReason(spec: JobSpec): string {
     const job = this.jobAd(spec);
-    const kinds = [...kindsOf(this.types(), this.zones)]
+    const kinds = [...catalogueKinds(this.types(), this.zones)]
       .filter(({ kind, type }) => kindAllowed(spec, kind) && typeFits(spec, type))
       .map(({ kind, type }) => ({ ...this.kind(kind)!, type }));
-    const parts = job.requirements === null ? [] : clauses(job.requirements.node);
-    for (const part of parts.map((node) => new Expression(node))) {
-      const met = kinds.some(({ ad, type }) => {
-        putRoom(ad, type);
-        return truth(this.#value(part, job.ad, ad)) === true;
+    const requirementClauses = job.requirements === null ? [] : clauses(job.requirements.node);
+    for (const clause of requirementClauses.map((node) => new Expression(node))) {
+      const satisfiable = kinds.some(({ ad, type }) => {
+        putFreeResources(ad, type);
+        return truth(this.#value(clause, job.ad, ad)) === true;
       });
-      if (!met) return `no machine could ever match the requirements: ${part}`;
+      if (!satisfiable) return `no machine could ever match the requirements: ${clause}`;
     }
-    return parts.length === 0
+    return requirementClauses.length === 0
       ? "all machines refuse it by their own start expression"
       : "no machine could ever match the requirements as a whole";
   }
 
-  /** Whether the answer may become TRUE with another room. */
-  #open(job: JobAd, kind: KindAd): boolean {
-    dropRoom(kind.ad);
+  /** Whether the expressions may become TRUE with other free resources. */
+  #mayMatchWhenPartlyFree(job: JobAd, kind: MachineKindAd): boolean {
+    deleteFreeResources(kind.ad);
     const sides: [Expression | null, Ad, Ad][] = [
       [job.requirements, job.ad, kind.ad],
       [kind.start, kind.ad, job.ad],
--- a/src/submit/site/records.ts
+++ b/src/submit/site/records.ts
@@ -1,20 +1,20 @@
 /**
- * What the store keeps of clusters, all of it watched. A cluster's record is written by whichever
- * controller is asked, and by the leader, always on condition of the version it was read at; jobs
- * are the core's headers, under names that begin with the cluster's number.
+ * Records of clusters in the state service, all of them watched. A cluster's record is written by
+ * the controller that handles a request and by the leader, always on condition of the version that
+ * was read. Jobs are headers of the core, with ids that begin with the cluster's number.
  */
 export const keys = {
-  /** The number of the last cluster. */
+  /** The highest cluster number given out. */
   last: "w/x/last",
   clusters: "w/x/c/",
   cluster: (id: number): string => `w/x/c/${id}`,
-  /** The number of the cluster that a hand-in has got: asking again gives it again. */
+  /** The cluster number of a submission by its name, so that a retry gets the same number. */
   name: (name: string): string => `w/x/k/${encodeURIComponent(name)}`,
 };
 
-/** One submit file, from the moment that its number is given out. */
+/** The cluster of one submit file, created when its number is given out. */
 export interface ClusterRecord {
-  /** What its sender calls it: the same for every try of one hand-in. */
+  /** The submission's name, chosen by the client: the same for all its retries. */
   name: string;
   team: string;
   user: string;
@@ -24,51 +24,51 @@
   jobs: number;
   procs: number;
   /**
-   * Nothing of an `open` cluster may start: its jobs are still being handed in. `in`: taken as a
-   * whole. `removed`: all of it goes, also what is not there yet.
+   * `open`: its jobs are still being submitted and none may start. `in`: committed as a whole.
+   * `removed`: all its jobs are cancelled, also those that are submitted later.
    */
   state: "open" | "in" | "removed";
-  /** Jobs before this one may start; null for all. */
+  /** Jobs with a lower index may start; null: all may. */
   upTo: number | null;
-  /** Procs that may be placed at a time. */
+  /** Procs that may be placed at the same time; null: any number. */
   most: number | null;
-  /** Jobs that are held, with the reason: by index, or `*` for all. */
+  /** Hold reasons of held jobs by index; `*` holds all jobs. */
   held: Record<string, string>;
-  /** When it was found to be over. */
+  /** When the leader found that no job of it can run any more, milliseconds since the epoch. */
   over?: number;
 }
 
-export function isCluster(value: unknown): value is ClusterRecord {
+export function isClusterRecord(value: unknown): value is ClusterRecord {
   return typeof value === "object" && value !== null && "state" in value && "procs" in value;
 }
 
-const JOB = /^wk-c(\d{1,15})\.(\d{1,7})$/;
+const JOB_ID = /^wk-c(\d{1,15})\.(\d{1,7})$/;
 
-/** The id of a cluster's job: any controller finds the cluster by it. */
+/** The id of a cluster's job; any controller can derive the cluster from it. */
 export const jobId = (cluster: number, index: number): string => `wk-c${cluster}.${index}`;
 
-/** The cluster and the index of a job, by its id; null for a job of no cluster. */
-export function placeOf(id: string): { cluster: number; index: number } | null {
-  // Asked for every job in every pass: most are of no cluster.
+/** The cluster number and job index in a job id; null if the job belongs to no cluster. */
+export function parseJobId(id: string): { cluster: number; index: number } | null {
+  // Called for every job in every scheduling pass, and most jobs belong to no cluster.
   if (!id.startsWith("wk-c")) return null;
-  const match = JOB.exec(id);
+  const match = JOB_ID.exec(id);
   return match === null ? null : { cluster: Number(match[1]), index: Number(match[2]) };
 }
 
 /** Why a job is held by its cluster's record, or null. */
-export const holdOf = (record: ClusterRecord, index: number): string | null =>
+export const holdReason = (record: ClusterRecord, index: number): string | null =>
   record.held["*"] ?? record.held[index] ?? null;
 
-/** Whether a cluster's job may start, as far as its record goes. */
+/** Whether the cluster's record lets a job start. */
 export const mayStart = (record: ClusterRecord, index: number): boolean =>
   record.state === "in" &&
   (record.upTo === null || index < record.upTo) &&
-  holdOf(record, index) === null;
+  holdReason(record, index) === null;
 
-/** Held jobs that a record names one by one at most: beyond that, the whole cluster is held. */
-const MOST_HELD = 64;
+/** Most jobs a record holds individually; beyond that the whole cluster is held. */
+const MAX_HELD_ENTRIES = 64;
 
-/** The record with jobs held, or all of them without indices. */
+/** The record with the given jobs held; null holds all jobs. */
 export function withHold(
   record: ClusterRecord,
   indices: readonly number[] | null,
@@ -79,13 +79,16 @@
   if (record.held["*"] !== undefined) return record;
   const held = { ...record.held };
   for (const index of indices) held[index] ??= short;
-  // Bounded, since a record has to fit a value of the store.
-  return Object.keys(held).length > MOST_HELD
+  // Bounded, since the record must fit into a value of the state service.
+  return Object.keys(held).length > MAX_HELD_ENTRIES
     ? { ...record, held: { "*": `${short} (and others)` } }
     : { ...record, held };
 }
 
-/** The record with jobs released. Releasing some of a cluster that is held as a whole names the rest. */
+/**
+ * The record with the given jobs released; null releases all jobs. If the cluster is held as a
+ * whole, the other jobs are then held individually; returns null if those are too many.
+ */
 export function withRelease(
   record: ClusterRecord,
   indices: readonly number[] | null,
@@ -94,7 +97,7 @@
   const all = record.held["*"];
   let held = { ...record.held };
   if (all !== undefined) {
-    if (record.jobs - indices.length > MOST_HELD) return null;
+    if (record.jobs - indices.length > MAX_HELD_ENTRIES) return null;
     held = Object.fromEntries(
       Array.from({ length: record.jobs }, (_, index): [string, string] => [String(index), all]),
     );
--- a/src/submit/site/settings.ts
+++ b/src/submit/site/settings.ts
@@ -1,7 +1,7 @@
 import { Ad, ClassAdError, Expression } from "../../classad/index.js";
 import type { PackageSchema, Refuse } from "../../settings/tuning.js";
 
-/** The message `submit` in the operators' settings; `deploy/submit.textproto` explains it. */
+/** Schema of the message `submit` in the operators' settings, documented in `deploy/submit.textproto`. */
 export const schema: PackageSchema = {
   field: "submit",
   number: 101,
@@ -24,7 +24,7 @@
 `,
 };
 
-/** What operators say of machines of some types, zones and kinds. */
+/** Ad attributes and start expression that operators set for machines of a type, zone or spot kind. */
 export interface MachineRule {
   type: string | null;
   zone: string | null;
@@ -35,12 +35,12 @@
 
 export interface SubmitSettings {
   rules: MachineRule[];
-  /** Clusters that are over and still shown by history. */
-  kept: number;
-  /** Jobs that one cluster may have. */
-  jobs: number;
-  /** How long a hand-in may take before what has come of it is given up. */
-  patienceMs: number;
+  /** Most finished clusters that are kept and shown by `history`. */
+  maxFinishedClusters: number;
+  /** Most jobs in one cluster. */
+  maxJobs: number;
+  /** How long a submission may take before its cluster is removed. */
+  submissionTimeoutMs: number;
 }
 
 interface RawMachine {
@@ -51,15 +51,15 @@
   start?: string;
 }
 
-interface Raw {
+interface RawSettings {
   machine?: RawMachine[];
   kept?: number;
   jobs?: number;
   patience_s?: number;
 }
 
-/** Set for each machine by the program, so operators may not. */
-const OWN = [
+/** Attributes that the program sets for each machine; operators must not set them. */
+const RESERVED_ATTRIBUTES = [
   "cpus",
   "memory",
   "gpus",
@@ -71,12 +71,13 @@
   "spot",
 ];
 
-function attributesOf(texts: readonly string[], refuse: Refuse): Ad {
+function parseAttributes(texts: readonly string[], refuse: Refuse): Ad {
   const all = new Ad();
   for (const text of texts) {
     try {
       for (const { name, node, key } of Ad.parseLines(text).attributes()) {
-        if (OWN.includes(key)) refuse(`machine: ${name} is set by the program`, name);
+        if (RESERVED_ATTRIBUTES.includes(key))
+          refuse(`machine: ${name} is set by the program`, name);
         all.set(name, node);
       }
     } catch (error) {
@@ -87,7 +88,7 @@
   return all;
 }
 
-function startOf(text: string, refuse: Refuse): Expression {
+function parseStart(text: string, refuse: Refuse): Expression {
   try {
     const start = Expression.parse(text);
     const [unknown] = start.reads().unknown;
@@ -105,7 +106,7 @@
   zones: readonly string[],
   refuse: Refuse,
 ): SubmitSettings {
-  const { machine = [], kept = 500, jobs = 500, patience_s: patienceS = 600 } = raw as Raw;
+  const { machine = [], kept = 500, jobs = 500, patience_s: patienceS = 600 } = raw as RawSettings;
   if (!(patienceS > 0)) refuse("patience_s must be above 0", "patience_s");
   if (jobs < 1) refuse("jobs must be at least 1", "jobs");
   const rules = machine.map(({ type, zone, spot, ad, start }) => {
@@ -116,9 +117,9 @@
       type: type ?? null,
       zone: zone ?? null,
       spot: spot ?? null,
-      attributes: attributesOf(ad ?? [], refuse),
-      start: start === undefined ? null : startOf(start, refuse),
+      attributes: parseAttributes(ad ?? [], refuse),
+      start: start === undefined ? null : parseStart(start, refuse),
     };
   });
-  return { rules, kept, jobs, patienceMs: patienceS * 1000 };
+  return { rules, maxFinishedClusters: kept, maxJobs: jobs, submissionTimeoutMs: patienceS * 1000 };
 }
--- a/src/submit/user/client.ts
+++ b/src/submit/user/client.ts
@@ -2,9 +2,9 @@
 import { RequestClient, RequestRefused } from "../../client/retry.js";
 import { bodiesOf, type Cluster } from "../map/cluster.js";
 import type { Analysis } from "../site/analyze.js";
-import type { Counts, JobView } from "../site/views.js";
+import type { JobView, ProcCounts } from "../site/views.js";
 
-export interface ClusterView extends Counts {
+export interface ClusterView extends ProcCounts {
   cluster: number;
   team: string;
   user: string;
--- a/src/submit/user/commands.ts
+++ b/src/submit/user/commands.ts
@@ -5,7 +5,7 @@
 import { SubmitError } from "../file/text.js";
 import { realWorld } from "../file/world.js";
 import { bodiesOf, type Cluster, planCluster } from "../map/cluster.js";
-import { jobId, placeOf } from "../site/records.js";
+import { jobId, parseJobId } from "../site/records.js";
 import { SubmitClient } from "./client.js";
 import { analysisText, clusterText, historyText, jobsText, queueText } from "./format.js";
 import { digestOf, pendingOf } from "./pending.js";
@@ -138,7 +138,7 @@
 
 /** `12`, `12.3` or `wk-c12.3`. */
 export function chosen(text: string): Chosen {
-  const place = placeOf(text) ?? placeOf(`wk-c${text}`);
+  const place = parseJobId(text) ?? parseJobId(`wk-c${text}`);
   if (place !== null) return { cluster: place.cluster, jobs: [place.index] };
   if (/^\d{1,15}$/.test(text)) return { cluster: Number(text), jobs: null };
   throw new RequestRefused(`${text}: a cluster such as 12, or a job of it such as 12.3`);
--- a/test/submit.test.ts
+++ b/test/submit.test.ts
@@ -12,14 +12,14 @@
   analyze,
   commands,
   commandTable,
-  gateOf,
   Matcher,
   planCluster,
   readSettings,
   realWorld,
-  wishOf,
+  requestedAction,
+  startLimit,
 } from "../src/submit/index.js";
-import type { JobState } from "../src/submit/site/book.js";
+import type { JobState } from "../src/submit/site/cluster-index.js";
 import { type ClusterRecord, withHold, withRelease } from "../src/submit/site/records.js";
 import { pendingOf } from "../src/submit/user/pending.js";
 import { BY_REQUIREMENTS, type JobSpec, parseSubmission } from "../src/wire/jobs.js";
@@ -219,13 +219,16 @@
   now = 2000;
   assert.equal(cost(byTime, 1000), 1);
   assert.equal(matcher.rank(byTime, kind("small"), room), null);
-  assert.equal(matcher.likeOf(fixed), matcher.likeOf({ ...fixed, match: { ...fixed.match! } }));
-  assert.equal(matcher.likeOf(byRoom), null);
-  assert.equal(matcher.likeOf(byTime), null);
+  assert.equal(
+    matcher.equivalenceKey(fixed),
+    matcher.equivalenceKey({ ...fixed, match: { ...fixed.match! } }),
+  );
+  assert.equal(matcher.equivalenceKey(byRoom), null);
+  assert.equal(matcher.equivalenceKey(byTime), null);
   for (const clock of ["time()", "currentTime()", 'formatTime() == ""', "absTime() =!= 1"]) {
-    assert.equal(matcher.likeOf(picky(`${clock} || true`)), null, clock);
+    assert.equal(matcher.equivalenceKey(picky(`${clock} || true`)), null, clock);
   }
-  assert.notEqual(matcher.likeOf(picky('formatTime(0) == ""')), null);
+  assert.notEqual(matcher.equivalenceKey(picky('formatTime(0) == ""')), null);
 });
 
 test("attributes that operators make of what is free change with it", () => {
@@ -334,7 +337,7 @@
     [{ upTo: 3, most: 2 }, jobsOf("open", "open", "open"), 3],
     [{ upTo: 0, most: 9 }, jobsOf("open", null, "open"), 1],
   ];
-  for (const [more, jobs, wanted] of rows) assert.equal(gateOf(record(more), jobs), wanted);
+  for (const [more, jobs, wanted] of rows) assert.equal(startLimit(record(more), jobs), wanted);
 });
 
 test("clusters: periodic expressions see the job's state, and the user's hold stays the user's", () => {
@@ -354,7 +357,11 @@
     ["[DeferralTime = 100; DeferralWindow = 10]", null, true, 180_000, null],
   ];
   for (const [text, hold, started, wall, wanted] of rows) {
-    assert.equal(wishOf(ad(text), { ...header, started }, hold, wall)?.kind ?? null, wanted, text);
+    assert.equal(
+      requestedAction(ad(text), { ...header, started }, hold, wall)?.kind ?? null,
+      wanted,
+      text,
+    );
   }
 });
 
