--- a/src/submit/file/functions.ts
+++ b/src/submit/file/functions.ts
@@ -23,7 +23,9 @@
   reason: string;
 }
 
-/** The functions there are; `F` is followed by letters that say which parts of a name are wanted. */
+/**
+ * The functions there are; `F` is followed by letters that say which parts of a name are wanted.
+ */
 export const FUNCTION =
   /^(ENV|INT|REAL|STRING|EVAL|CHOICE|RANDOM_CHOICE|RANDOM_INTEGER|SUBSTR|BASENAME|DIRNAME|F[fpduwnxbqa]*)$/;
 
--- a/src/submit/file/read.ts
+++ b/src/submit/file/read.ts
@@ -14,8 +14,8 @@
   /** Variables of the environment that `$ENV` may read. */
   environment?: readonly string[];
   /** The most procs that a file may make, and bytes of all files that are read. */
-  procs?: number;
-  bytes?: number;
+  maxProcs?: number;
+  maxBytes?: number;
   /** Told of each `warning :`. */
   warn?(text: string, place: Place): void;
 }
@@ -126,7 +126,7 @@
       throw new SubmitError(`${path}: ${why}`, from ?? { file: path, line: 1, column: 1 });
     }
     this.#bytes += bytes.length;
-    const most = this.options.bytes ?? MOST_BYTES;
+    const most = this.options.maxBytes ?? MOST_BYTES;
     if (this.#bytes > most) {
       throw new SubmitError(`more than ${most} bytes`, from ?? { file: path, line: 1, column: 1 });
     }
@@ -332,11 +332,11 @@
       place,
       list,
       world: this.#world,
-      most: this.options.procs ?? MOST_PROCS,
+      most: this.options.maxProcs ?? MOST_PROCS,
     });
     for (const name of queue.vars) this.#used.add(name.toLowerCase());
     const total = queue.count * (queue.items?.length ?? 1);
-    const most = this.options.procs ?? MOST_PROCS;
+    const most = this.options.maxProcs ?? MOST_PROCS;
     if (this.#procs + total > most) {
       throw new SubmitError(`${this.#procs + total} procs; at most ${most}`, place);
     }
--- a/src/submit/index.ts
+++ b/src/submit/index.ts
@@ -31,13 +31,13 @@
 export { type Place, SubmitError } from "./file/text.js";
 export { type FileWorld, matchPaths, realWorld } from "./file/world.js";
 export {
-  bodiesOf,
-  type Cluster,
+  type PlannedCluster,
   type PlannedJob,
   type PlanOptions,
   planCluster,
+  submissionBodies,
 } from "./map/cluster.js";
-export { type Plan, SPECIAL } from "./map/job.js";
+export { type Plan, SPECIAL_ATTRIBUTES } from "./map/job.js";
 export { type Analysis, analyze } from "./site/analyze.js";
 export { requestedAction, startLimit } from "./site/cluster-reconciler.js";
 export { matchError } from "./site/job-ads.js";
--- a/src/submit/map/expressions.ts
+++ b/src/submit/map/expressions.ts
@@ -2,8 +2,8 @@
 import type { Value } from "../file/read.js";
 import { SubmitError } from "../file/text.js";
 
-/** What `periodic_*` may read: what a controller knows of a job. */
-export const JOB_STATE = new Set([
+/** Attributes that `periodic_*` may read (lower case): those a controller knows of a job. */
+export const PERIODIC_ATTRIBUTES = new Set([
   "clusterid",
   "procid",
   "jobstatus",
@@ -20,10 +20,10 @@
 ]);
 
 /**
- * An expression of a file, checked: it parses, and all its functions exist.
+ * Parses an expression of a file and checks that all its functions exist.
  * @throws SubmitError at the place in the file
  */
-export function expressionOf({ text, place, at }: Value, name: string): Node {
+export function parseCheckedExpression({ text, place, at }: Value, name: string): Node {
   let node: Node;
   try {
     node = parseExpression(text);
@@ -35,38 +35,48 @@
     );
   }
   const { unknown } = reads(node, null);
-  const [missing] = unknown;
-  if (missing !== undefined) {
+  const [unknownFunction] = unknown;
+  if (unknownFunction !== undefined) {
     throw new SubmitError(
-      `${name}: no function ${missing}`,
-      at(Math.max(0, text.toLowerCase().indexOf(missing.toLowerCase()))),
+      `${name}: no function ${unknownFunction}`,
+      at(Math.max(0, text.toLowerCase().indexOf(unknownFunction.toLowerCase()))),
       "docs/submit.md lists the functions there are",
     );
   }
   return node;
 }
 
-/** `periodic_*`: only what a controller knows, so that nothing is decided by an attribute that is never there. */
-export function periodicOf(value: Value, name: string, own: ReadonlySet<string>): Node {
-  const node = expressionOf(value, name);
+/**
+ * Parses a `periodic_*` expression. It may read only attributes that a controller knows, so that an
+ * attribute that is never defined decides nothing.
+ */
+export function parsePeriodicExpression(
+  value: Value,
+  name: string,
+  fileAttributes: ReadonlySet<string>,
+): Node {
+  const node = parseCheckedExpression(value, name);
   const { target, my } = reads(node, null);
   for (const key of [...target, ...my]) {
-    if (JOB_STATE.has(key) || own.has(key)) continue;
+    if (PERIODIC_ATTRIBUTES.has(key) || fileAttributes.has(key)) continue;
     throw new SubmitError(
       `${name}: ${key} of a job is not known here`,
       value.at(Math.max(0, value.text.toLowerCase().indexOf(key))),
-      `known are ${[...JOB_STATE].join(", ")}, time() and what the file adds`,
+      `known are ${[...PERIODIC_ATTRIBUTES].join(", ")}, time() and what the file adds`,
     );
   }
   return node;
 }
 
-/** Only a value that is the same for all jobs makes sense here: TRUE for one, FALSE for another. */
-export function onlyConstant(value: Value, name: string, wanted: boolean, hint: string): void {
-  const text = print(expressionOf(value, name)).toLowerCase();
-  if (text === String(wanted)) return;
+/**
+ * Checks that a command has the only supported value. That value must be the same for all jobs: TRUE
+ * for some commands, FALSE for others.
+ */
+export function requireConstant(value: Value, name: string, required: boolean, hint: string): void {
+  const text = print(parseCheckedExpression(value, name)).toLowerCase();
+  if (text === String(required)) return;
   throw new SubmitError(
-    `${name}: only ${wanted ? "True" : "False"} is supported`,
+    `${name}: only ${required ? "True" : "False"} is supported`,
     value.place,
     hint,
   );
--- a/src/submit/map/timing.ts
+++ b/src/submit/map/timing.ts
@@ -3,24 +3,24 @@
 import { Expression, isNumber } from "../../classad/index.js";
 import type { Proc, Value } from "../file/read.js";
 import { SubmitError } from "../file/text.js";
-import { wholeOf } from "./units.js";
+import { parseInteger } from "./units.js";
 
 /** When a job may start. */
 export interface Timing {
-  /** Seconds since the epoch; null for at once. */
-  after: number | null;
-  /** For how long after that it may start, seconds; null for any time. */
+  /** Earliest start, seconds since the epoch; null: at once. */
+  deferredUntilS: number | null;
+  /** How long after that it may still start, seconds; null: without limit. */
   windowS: number | null;
 }
 
-const FIELDS = ["minute", "hour", "day_of_month", "month", "day_of_week"] as const;
+const CRON_FIELDS = ["minute", "hour", "day_of_month", "month", "day_of_week"] as const;
 
 /**
- * `deferral_time`, or the next moment of `cron_*` in the given time zone. HTCondor's fields are
- * cron's; one that is not set is `*`.
+ * Reads `deferral_time`, or the next time that `cron_*` gives in the time zone. HTCondor's fields
+ * are those of cron; a field that is not set is `*`.
  */
-export function timingOf(proc: Proc, zone: string, now: number): Timing {
-  const cron = FIELDS.map((field) => proc.value(`cron_${field}`));
+export function parseTiming(proc: Proc, zone: string, now: number): Timing {
+  const cron = CRON_FIELDS.map((field) => proc.value(`cron_${field}`));
   const deferral = proc.value("deferral_time");
   const first = cron.find((value) => value !== null);
   if (deferral !== null && first != null) {
@@ -31,16 +31,17 @@
     );
   }
   const window = proc.value(first == null ? "deferral_window" : "cron_window");
-  const windowS = window === null ? null : wholeOf(window, "window", 0);
-  if (first != null) return { after: nextMoment(cron, first, zone, now), windowS: windowS ?? 0 };
+  const windowS = window === null ? null : parseInteger(window, "window", 0);
+  if (first != null)
+    return { deferredUntilS: nextCronTimeS(cron, first, zone, now), windowS: windowS ?? 0 };
   if (deferral === null) {
     if (window !== null) throw new SubmitError("a window without a moment", window.place);
-    return { after: null, windowS: null };
+    return { deferredUntilS: null, windowS: null };
   }
-  return { after: momentOf(deferral, now), windowS: windowS ?? 0 };
+  return { deferredUntilS: deferralTimeS(deferral, now), windowS: windowS ?? 0 };
 }
 
-function nextMoment(
+function nextCronTimeS(
   fields: readonly (Value | null)[],
   first: Value,
   zone: string,
@@ -58,8 +59,8 @@
   }
 }
 
-/** A constant, or what an expression is now: `(time() + 3600)`. */
-function momentOf({ text, place }: Value, now: number): number {
+/** Evaluates `deferral_time` now: a constant or an expression such as `(time() + 3600)`. */
+function deferralTimeS({ text, place }: Value, now: number): number {
   const seconds = Math.floor(now / 1000);
   const { value } = Expression.parse(text).evaluate({}, { now: seconds });
   if (!isNumber(value)) {
--- a/src/submit/map/units.ts
+++ b/src/submit/map/units.ts
@@ -3,11 +3,11 @@
 import type { Value } from "../file/read.js";
 import { SubmitError } from "../file/text.js";
 
-const FACTORS: Record<string, number> = { b: 1, k: 2 ** 10, m: 2 ** 20, g: 2 ** 30, t: 2 ** 40 };
+const UNIT_BYTES: Record<string, number> = { b: 1, k: 2 ** 10, m: 2 ** 20, g: 2 ** 30, t: 2 ** 40 };
 const SIZE = /^([+]?(?:\d+(?:\.\d*)?|\.\d+))\s*([bkmgt])(?:i?b)?$/i;
 
-/** A number, or a constant expression that is one. @throws SubmitError */
-export function numberOf({ text, place }: Value, name: string, least: number): number {
+/** Parses a number or a constant numeric expression of at least `least`. @throws SubmitError */
+export function parseNumber({ text, place }: Value, name: string, least: number): number {
   const value = constantOf(text);
   if (!isNumber(value as never)) {
     const why = typeof value === "object" && "reason" in value ? value.reason : `'${text}'`;
@@ -24,21 +24,23 @@
   return number;
 }
 
-export function wholeOf(value: Value, name: string, least: number): number {
-  const number = numberOf(value, name, least);
+export function parseInteger(value: Value, name: string, least: number): number {
+  const number = parseNumber(value, name, least);
   if (!Number.isInteger(number)) throw new SubmitError(`${name}: a whole number`, value.place);
   return number;
 }
 
-/** Bytes; a number without a unit counts in `unit` bytes. Units are powers of 1024. */
-export function bytesOf(value: Value, name: string, unit: number): number {
+/**
+ * Parses a size in bytes. A number without a unit counts `unit` bytes; units are powers of 1024.
+ */
+export function parseBytes(value: Value, name: string, unit: number): number {
   const match = SIZE.exec(value.text);
-  if (match !== null) return Number(match[1]) * FACTORS[match[2]!.toLowerCase()]!;
-  return numberOf(value, name, 0) * unit;
+  if (match !== null) return Number(match[1]) * UNIT_BYTES[match[2]!.toLowerCase()]!;
+  return parseNumber(value, name, 0) * unit;
 }
 
 /** @throws SubmitError for a value that is neither true nor false */
-export function flagOf({ text, place }: Value, name: string): boolean {
+export function parseBoolean({ text, place }: Value, name: string): boolean {
   if (/^(yes|y|t)$/i.test(text)) return true;
   if (/^(no|n|f)$/i.test(text)) return false;
   const value = constantOf(text);
@@ -47,8 +49,11 @@
   throw new SubmitError(`${name}: neither True nor False: '${text}'`, place);
 }
 
-/** `"a b" c` or, in double quotes as a whole, the newer form with single quotes. */
-export function argumentsOf({ text, place }: Value): string[] {
+/**
+ * Parses HTCondor's arguments: words split at blanks with `\"` for a quote, or the newer form in
+ * double quotes.
+ */
+export function parseArguments({ text, place }: Value): string[] {
   if (!text.startsWith('"')) {
     if (text.includes('"') && !text.includes('\\"')) {
       throw new SubmitError(
@@ -62,11 +67,14 @@
       .split(/\s+/)
       .filter((word) => word !== "");
   }
-  return quotedWords(text, "arguments", place);
+  return parseQuotedWords(text, "arguments", place);
 }
 
-/** HTCondor's newer form: all in double quotes, blanks in single quotes, quotes doubled. */
-function quotedWords(text: string, name: string, place: Value["place"]): string[] {
+/**
+ * Splits HTCondor's newer form: all in double quotes, words with blanks in single quotes, a quote is
+ * written doubled.
+ */
+function parseQuotedWords(text: string, name: string, place: Value["place"]): string[] {
   if (text.length < 2 || !text.endsWith('"')) {
     throw new SubmitError(`${name}: the quote at its beginning is not closed`, place);
   }
@@ -98,9 +106,9 @@
 }
 
 /** `"A=1 B='x y'"`, or the older `A=1;B=2`. */
-export function environmentOf({ text, place }: Value): Record<string, string> {
+export function parseEnvironment({ text, place }: Value): Record<string, string> {
   const pairs = text.startsWith('"')
-    ? quotedWords(text, "environment", place)
+    ? parseQuotedWords(text, "environment", place)
     : text.split(";").map((pair) => pair.trim());
   const out: Record<string, string> = {};
   for (const pair of pairs) {
--- a/src/submit/site/api.ts
+++ b/src/submit/site/api.ts
@@ -96,7 +96,10 @@
     }
   }
 
-  /** Creates a cluster and returns its number; repeated requests with the same name return the same number. */
+  /**
+   * Creates a cluster and returns its number; repeated requests with the same name return the same
+   * number.
+   */
   async #open(body: unknown): Promise<Reply> {
     const parsed = openRequest.safeParse(body);
     if (!parsed.success) {
@@ -144,7 +147,8 @@
         { put: keys.cluster(id), value: record },
       ],
     );
-    // A concurrent submission took the number, or an earlier attempt of this one succeeded after all.
+    // A concurrent submission took the number, or an earlier attempt of this one succeeded after
+    // all.
     if (!result.ok) return retryLater(503, "try again");
     const { revision: version } = result;
     mirror.apply({ key: keys.cluster(id), value: record, version, deleted: false });
@@ -169,7 +173,10 @@
     return { status: 200, body: { cluster: id, state: record.state } };
   }
 
-  /** Commits a cluster once all its jobs are submitted: one write, after which all of them may start. */
+  /**
+   * Commits a cluster once all its jobs are submitted: one write, after which all of them may
+   * start.
+   */
   async #commit(id: number): Promise<Reply> {
     const known = await this.clusterStore.read(id);
     if (known === null) return noSuchCluster;
--- a/src/submit/site/cluster-reconciler.ts
+++ b/src/submit/site/cluster-reconciler.ts
@@ -34,7 +34,8 @@
   const now = Math.floor(wallMs / 1000);
   const isTrue = (name: string): boolean => {
     const node = state.get(name)?.node;
-    // Interpreted: it is evaluated once against this ad, so compiling would cost more than it saves.
+    // Interpreted: it is evaluated once against this ad, so compiling would cost more than it
+    // saves.
     return node !== undefined && truth(runReference(node, { my: state }, { now }).value) === true;
   };
   const textOf = (name: string): string => print(state.get(name)!.node);
@@ -64,7 +65,10 @@
   return null;
 }
 
-/** Grace after the window: a task needs a scheduling pass and a report to start, so a window of 0 would always be missed. */
+/**
+ * Grace after the window: a task needs a scheduling pass and a report to start, so a window of 0
+ * would always be missed.
+ */
 const DEFERRAL_GRACE_S = 60;
 
 function integerLiteral(ad: Ad, key: string): number | null {
@@ -72,7 +76,10 @@
   return node?.kind === "literal" && typeof node.value === "bigint" ? Number(node.value) : null;
 }
 
-/** The index before which a cluster's jobs may start so that at most `most` procs are placed at the same time. */
+/**
+ * The index before which a cluster's jobs may start so that at most `most` procs are placed at the
+ * same time.
+ */
 export function startLimit(record: ClusterRecord, jobs: readonly JobState[]): number | null {
   const { upTo, most } = record;
   if (upTo === null || most === null) return null;
@@ -130,7 +137,8 @@
         if (this.term.valid()) await this.#step();
         this.#storeAvailable = true;
       } catch (error) {
-        // Writes in flight may still succeed: the next step decides from the records as they are then.
+        // Writes in flight may still succeed: the next step decides from the records as they are
+        // then.
         if (this.#storeAvailable)
           log.warn({ error: String(error) }, "reconciling clusters failed; will retry");
         this.#storeAvailable = false;
@@ -139,7 +147,10 @@
     }
   }
 
-  /** Reconciles clusters that changed or that time may change; others, even a thousand, cost nothing. */
+  /**
+   * Reconciles clusters that changed or that time may change; others, even a thousand, cost
+   * nothing.
+   */
   async #step(): Promise<void> {
     const { changed, clusters } = this.clusterIndex;
     for (const id of new Set([...changed, ...this.#timeDependent])) {
@@ -172,7 +183,8 @@
       return;
     }
     if (record.state === "removed") {
-      // Also after the cluster is finished: a controller may accept a job before it learns of the removal.
+      // Also after the cluster is finished: a controller may accept a job before it learns of the
+      // removal.
       for (const { id: job, header } of jobs) {
         if (header !== null && header.status === "open") await this.#cancel(id, job);
       }
@@ -227,7 +239,9 @@
     await this.clusterStore.cancel(job, true);
   }
 
-  /** Takes writes from the rate limiter. If there are none, the cluster is reconciled again later. */
+  /**
+   * Takes writes from the rate limiter. If there are none, the cluster is reconciled again later.
+   */
   #reserveWrites(cluster: number, writes: number): boolean {
     if (this.core.store.writes.take(writes, 2)) return true;
     this.clusterIndex.changed.add(cluster);
--- a/src/submit/site/cluster-store.ts
+++ b/src/submit/site/cluster-store.ts
@@ -9,7 +9,10 @@
 /** A write that conflicts with another writer is retried from the newer version. */
 const MAX_ATTEMPTS = 5;
 
-/** Reads and writes clusters and their jobs. Each write is conditional on the version it was derived from. */
+/**
+ * Reads and writes clusters and their jobs. Each write is conditional on the version it was derived
+ * from.
+ */
 export class ClusterStore {
   constructor(
     readonly core: Core,
@@ -38,7 +41,8 @@
     let known = this.clusterIndex.clusters.get(id) ?? (await this.read(id));
     for (let attempt = 0; attempt < MAX_ATTEMPTS && known !== null; attempt++) {
       const next = change(known.value);
-      // The record may be stale: checks that it is the newest before reporting that nothing changes.
+      // The record may be stale: checks that it is the newest before reporting that nothing
+      // changes.
       if (next === null) {
         const newest = attempt > 0 ? known : await this.read(id);
         if (newest === null || newest.version === known.version) return newest?.value ?? null;
--- a/src/submit/site/job-ads.ts
+++ b/src/submit/site/job-ads.ts
@@ -58,7 +58,8 @@
     let known = this.#bySpec.get(spec);
     if (known !== undefined) return known;
     const match = spec.match!;
-    // Everything that match results depend on: machines' `start` expressions read the job's attributes too.
+    // Everything that match results depend on: machines' `start` expressions read the job's
+    // attributes too.
     const { cpus, gpus, memGb, team, spot, zone } = spec;
     const key = JSON.stringify([match, cpus, gpus, memGb, team, spot, zone]);
     known = this.#cache.get(key);
--- a/src/submit/site/job-matcher.ts
+++ b/src/submit/site/job-matcher.ts
@@ -32,7 +32,8 @@
     const jobRef = parseJobId(id);
     if (jobRef !== null) {
       const record = this.clusterIndex.clusters.get(jobRef.cluster)?.value;
-      // A cluster without a record here is finished and deleted, or not known yet and so not committed.
+      // A cluster without a record here is finished and deleted, or not known yet and so not
+      // committed.
       if (record === undefined || !mayStart(record, jobRef.index)) return true;
     }
     const { deferredUntilS: after } = this.matcher.jobAd(spec);
--- a/src/submit/site/machine-ads.ts
+++ b/src/submit/site/machine-ads.ts
@@ -8,7 +8,10 @@
 
 const MB_PER_GB = 1024;
 
-/** The ad shared by all machines of one type, zone and spot kind, which differ only in their free resources. */
+/**
+ * The ad shared by all machines of one type, zone and spot kind, which differ only in their free
+ * resources.
+ */
 export interface MachineKindAd {
   ad: Ad;
   start: Expression | null;
@@ -32,7 +35,10 @@
   for (const key of FREE_RESOURCE_ATTRIBUTES) ad.delete(key);
 }
 
-/** The ad of a machine kind: the program's attributes, then operators' rules in order; later ones override. */
+/**
+ * The ad of a machine kind: the program's attributes, then operators' rules in order; later ones
+ * override.
+ */
 export function machineKindAd(
   kind: MachineKind,
   type: MachineType,
--- a/src/submit/site/matcher.ts
+++ b/src/submit/site/matcher.ts
@@ -49,7 +49,10 @@
 
 const NO_KIND: MachineKind = { type: "", zone: "", spot: false };
 
-/** Most ranks cached for one job ad: machine kinds times the different free resources of their machines. */
+/**
+ * Most ranks cached for one job ad: machine kinds times the different free resources of their
+ * machines.
+ */
 const MAX_CACHED_RANKS = 4096;
 
 /**
@@ -125,12 +128,17 @@
     return kind;
   }
 
-  /** The job's rank of a machine, or null if it does not match. `free` null: as on an empty machine. */
+  /**
+   * The job's rank of a machine, or null if it does not match. `free` null: as on an empty machine.
+   */
   rank(spec: JobSpec, on: MachineKind, free: Resources | null): number | null {
     return this.rankerFor(spec)(on, free);
   }
 
-  /** A rank function for all machines of a pass, so that work independent of the machine is done once. */
+  /**
+   * A rank function for all machines of a pass, so that work independent of the machine is done
+   * once.
+   */
   rankerFor(spec: JobSpec): (on: MachineKind, free: Resources | null) => number | null {
     const job = this.jobAd(spec);
     // Detects a changed catalogue.
@@ -167,7 +175,10 @@
     return kindRank;
   }
 
-  /** Clears cached results if the catalogue has changed or, for a job that depends on time, the second. */
+  /**
+   * Clears cached results if the catalogue has changed or, for a job that depends on time, the
+   * second.
+   */
   #invalidateIfChanged(job: JobAd): void {
     const version = this.#epoch * 2 ** 40 + (job.dependsOnTime ? this.nowS() : 0);
     if (version === job.cacheVersion) return;
--- a/src/submit/site/settings.ts
+++ b/src/submit/site/settings.ts
@@ -1,7 +1,10 @@
 import { Ad, ClassAdError, Expression } from "../../classad/index.js";
 import type { PackageSchema, Refuse } from "../../settings/tuning.js";
 
-/** Schema of the message `submit` in the operators' settings, documented in `deploy/submit.textproto`. */
+/**
+ * Schema of the message `submit` in the operators' settings, documented in
+ * `deploy/submit.textproto`.
+ */
 export const schema: PackageSchema = {
   field: "submit",
   number: 101,
@@ -24,7 +27,9 @@
 `,
 };
 
-/** Ad attributes and start expression that operators set for machines of a type, zone or spot kind. */
+/**
+ * Ad attributes and start expression that operators set for machines of a type, zone or spot kind.
+ */
 export interface MachineRule {
   type: string | null;
   zone: string | null;
--- a/src/submit/site/views.ts
+++ b/src/submit/site/views.ts
@@ -30,7 +30,9 @@
 /** By job: tasks placed and done in unfinished chunks. */
 export type Progress = ReadonlyMap<string, { placed: number; done: number }>;
 
-/** Progress from the summaries of all parts. Computed once per response, however many jobs it has. */
+/**
+ * Progress from the summaries of all parts. Computed once per response, however many jobs it has.
+ */
 export function progressOf(summaries: Summaries): Progress {
   const sums = new Map<string, { placed: number; done: number }>();
   for (const [, { progress }] of summaries.all()) {
--- a/src/submit/user/client.ts
+++ b/src/submit/user/client.ts
@@ -1,6 +1,6 @@
 import { JobClient } from "../../client/client.js";
 import { RequestClient, RequestRefused } from "../../client/retry.js";
-import { bodiesOf, type Cluster } from "../map/cluster.js";
+import { type PlannedCluster, submissionBodies } from "../map/cluster.js";
 import type { Analysis } from "../site/analyze.js";
 import type { JobView, ProcCounts } from "../site/views.js";
 
@@ -32,77 +32,80 @@
   waits: number | null;
 }
 
-/** What partners do with clusters. Every request may be repeated, and is until it is answered. */
+/** Client of the clusters API. Requests are idempotent and are retried until they are answered. */
 export class SubmitClient extends RequestClient {
-  /** Jobs go the way that all jobs go. */
-  readonly #jobs = new JobClient("", this.clock, this.caller, this.patienceMs);
+  /** Jobs of clusters are submitted through the general jobs API. */
+  readonly #jobClient = new JobClient("", this.clock, this.caller, this.patienceMs);
 
-  /** The cluster's number, the same for every try under one name. */
+  /**
+   * Creates the cluster and returns its number, which is the same for every retry with one name.
+   */
   async open(
     name: string,
     user: string,
-    cluster: Cluster,
+    cluster: PlannedCluster,
   ): Promise<{ cluster: number; state: string }> {
     const { team, procs, most, held, name: title, jobs } = cluster;
     const body = { name, team, user, title, jobs: jobs.length, procs, most, held };
-    return this.#ask("POST", "/submit/clusters", body);
+    return this.#call("POST", "/submit/clusters", body);
   }
 
   /**
-   * Hands a cluster in: its number, then its jobs, of which nothing may start, then the one write
-   * that takes it as a whole. After an error the same name may be handed in again; what has been
-   * taken already is not taken twice.
-   * `plan` is asked for the cluster once its number is known, since a file may contain it.
+   * Submits a cluster: gets its number, submits its jobs, none of which may start yet, and commits it
+   * as a whole with one write. After an error the same name may be submitted again; jobs that were
+   * accepted already are not accepted twice.
+   * `plan` plans the cluster again once its number is known, since the file may use the number.
    */
   async submit(
     name: string,
     user: string,
-    first: Cluster,
-    plan: (id: number) => Cluster,
-  ): Promise<{ cluster: number; taken: Cluster }> {
+    first: PlannedCluster,
+    plan: (id: number) => PlannedCluster,
+  ): Promise<{ cluster: number; taken: PlannedCluster }> {
     const { cluster: id, state } = await this.open(name, user, first);
     const cluster = plan(id);
-    if (state === "removed") throw new RequestRefused(`cluster ${id} was given up, or removed`);
+    if (state === "removed")
+      throw new RequestRefused(`cluster ${id} was removed, or its submission timed out`);
     if (state === "in") return { cluster: id, taken: cluster };
     if (cluster.jobs.length !== first.jobs.length || cluster.procs !== first.procs) {
       await this.remove(id, null).catch(() => undefined);
-      throw new RequestRefused("which procs there are must not depend on $(ClusterId)");
+      throw new RequestRefused("the number of procs or jobs must not depend on $(ClusterId)");
     }
     try {
-      for (const body of bodiesOf(cluster, id)) await this.#jobs.submit(body);
+      for (const body of submissionBodies(cluster, id)) await this.#jobClient.submit(body);
     } catch (error) {
-      // One job that can never run: nothing of the cluster shall. The sender is told why.
+      // A job that can never run: the whole cluster is removed, and the user gets the reason.
       if (error instanceof RequestRefused) await this.remove(id, null).catch(() => undefined);
       throw error;
     }
-    await this.#ask("POST", `/submit/clusters/${id}/commit`);
+    await this.#call("POST", `/submit/clusters/${id}/commit`);
     return { cluster: id, taken: cluster };
   }
 
   remove(cluster: number, jobs: readonly number[] | null): Promise<unknown> {
-    return this.#ask("POST", `/submit/clusters/${cluster}/remove`, { jobs });
+    return this.#call("POST", `/submit/clusters/${cluster}/remove`, { jobs });
   }
 
   hold(cluster: number, jobs: readonly number[] | null, reason: string): Promise<unknown> {
-    return this.#ask("POST", `/submit/clusters/${cluster}/hold`, { jobs, reason });
+    return this.#call("POST", `/submit/clusters/${cluster}/hold`, { jobs, reason });
   }
 
   release(cluster: number, jobs: readonly number[] | null): Promise<unknown> {
-    return this.#ask("POST", `/submit/clusters/${cluster}/release`, { jobs });
+    return this.#call("POST", `/submit/clusters/${cluster}/release`, { jobs });
   }
 
   queue(team: string | null): Promise<ClusterView[]> {
-    return this.#pages<ClusterView>(
+    return this.#allPages<ClusterView>(
       "clusters",
-      (after) => `/submit/queue/${teamOf(team)}/${after ?? 0}`,
+      (after) => `/submit/queue/${teamPath(team)}/${after ?? 0}`,
     );
   }
 
-  /** The newest first; `most` of them. */
+  /** At most `most` finished clusters, newest first. */
   async history(team: string | null, most: number): Promise<ClusterView[]> {
-    const found = await this.#pages<ClusterView>(
+    const found = await this.#allPages<ClusterView>(
       "clusters",
-      (after) => `/submit/history/${teamOf(team)}${after === null ? "" : `/${after}`}`,
+      (after) => `/submit/history/${teamPath(team)}${after === null ? "" : `/${after}`}`,
       most,
     );
     return found.slice(0, most);
@@ -110,9 +113,9 @@
 
   async jobs(cluster: number): Promise<ClusterJobs> {
     const path = (after: number): string => `/submit/clusters/${cluster}/jobs/${after}`;
-    const all = await this.#ask<ClusterJobs & Page>("GET", path(0));
+    const all = await this.#call<ClusterJobs & Page>("GET", path(0));
     for (let { next } = all; next !== null; ) {
-      const page = await this.#ask<ClusterJobs & Page>("GET", path(next));
+      const page = await this.#call<ClusterJobs & Page>("GET", path(next));
       all.jobs.push(...page.jobs);
       next = page.next;
     }
@@ -120,10 +123,10 @@
   }
 
   analyze(job: string): Promise<AnalysisView> {
-    return this.#ask("GET", `/submit/analyze/${encodeURIComponent(job)}`);
+    return this.#call("GET", `/submit/analyze/${encodeURIComponent(job)}`);
   }
 
-  async #pages<T>(
+  async #allPages<T>(
     field: string,
     path: (after: number | null) => string,
     most = Number.POSITIVE_INFINITY,
@@ -131,14 +134,14 @@
     const all: T[] = [];
     let after: number | null = null;
     do {
-      const page: Page = await this.#ask("GET", path(after));
+      const page: Page = await this.#call("GET", path(after));
       all.push(...(page[field] as T[]));
       after = page.next;
     } while (after !== null && all.length < most);
     return all;
   }
 
-  #ask<T>(method: string, path: string, body?: unknown): Promise<T> {
+  #call<T>(method: string, path: string, body?: unknown): Promise<T> {
     return this.ask({ method, path, body, optional: "submit files" }, (answer) => answer as T);
   }
 }
@@ -148,4 +151,4 @@
   [field: string]: unknown;
 }
 
-const teamOf = (team: string | null): string => (team === null ? "*" : encodeURIComponent(team));
+const teamPath = (team: string | null): string => (team === null ? "*" : encodeURIComponent(team));
--- a/src/submit/user/commands.ts
+++ b/src/submit/user/commands.ts
@@ -4,11 +4,11 @@
 import type { ReadOptions } from "../file/read.js";
 import { SubmitError } from "../file/text.js";
 import { realWorld } from "../file/world.js";
-import { bodiesOf, type Cluster, planCluster } from "../map/cluster.js";
+import { type PlannedCluster, planCluster, submissionBodies } from "../map/cluster.js";
 import { jobId, parseJobId } from "../site/records.js";
 import { SubmitClient } from "./client.js";
 import { analysisText, clusterText, historyText, jobsText, queueText } from "./format.js";
-import { digestOf, pendingOf } from "./pending.js";
+import { openPendingSubmission, submissionDigest } from "./pending.js";
 
 export interface SubmitFileOptions {
   node?: string;
@@ -24,9 +24,9 @@
 const write = (text: string): void => {
   process.stdout.write(text);
 };
-const json = (value: unknown): void => write(`${JSON.stringify(value)}\n`);
+const writeJson = (value: unknown): void => write(`${JSON.stringify(value)}\n`);
 
-const userName = (): string => {
+const currentUser = (): string => {
   try {
     return userInfo().username;
   } catch {
@@ -34,7 +34,7 @@
   }
 };
 
-async function within<T>(node: string, run: (client: SubmitClient) => Promise<T>): Promise<T> {
+async function withClient<T>(node: string, run: (client: SubmitClient) => Promise<T>): Promise<T> {
   const client = new SubmitClient(node);
   try {
     return await run(client);
@@ -43,47 +43,48 @@
   }
 }
 
-/** Hands a submit file in, or with `dryRun` says what it asks for. @throws SubmitError */
+/** Submits a file, or with `dryRun` prints what it asks for. @throws SubmitError */
 export async function submitFile(file: string, options: SubmitFileOptions): Promise<void> {
-  const user = options.user ?? userName();
+  const user = options.user ?? currentUser();
   const timeZone = options.timeZone ?? Intl.DateTimeFormat().resolvedOptions().timeZone;
-  // One reading of a file that comes by a pipe: it is planned again once the cluster has a number.
+  // Read only once, since the file may be a pipe: it is planned again when the cluster has a
+  // number.
   const world = realWorld();
   const bytes = world.read(file);
   const startedAt = world.now();
-  let seed = 0;
-  const draws: number[] = [];
-  /** All that the file's meaning comes from: the same at the next try, whatever the time is then. */
-  const seen = new Map<string, unknown>();
-  const once = {
+  let nextDraw = 0;
+  const randomDraws: number[] = [];
+  /** All inputs that the plan depends on except the time, so that a retry has the same digest. */
+  const inputs = new Map<string, unknown>();
+  const recordingWorld = {
     ...world,
     read: (path: string) => {
       const found = path === file ? bytes : world.read(path);
-      seen.set(path, Buffer.from(found).toString("latin1"));
+      inputs.set(path, Buffer.from(found).toString("latin1"));
       return found;
     },
     match: (pattern: string, kind: "files" | "dirs" | "any") => {
       const found = world.match(pattern, kind);
-      seen.set(`${kind} ${pattern}`, found);
+      inputs.set(`${kind} ${pattern}`, found);
       return found;
     },
     env: (name: string) => {
       const found = world.env(name);
-      seen.set(`$${name}`, found ?? null);
+      inputs.set(`$${name}`, found ?? null);
       return found;
     },
     now: () => startedAt,
     random: () => {
-      draws[seed] ??= world.random();
-      return draws[seed++]!;
+      randomDraws[nextDraw] ??= world.random();
+      return randomDraws[nextDraw++]!;
     },
   };
-  const plan = (cluster: number, warn?: ReadOptions["warn"]): Cluster => {
-    seed = 0;
+  const plan = (cluster: number, warn?: ReadOptions["warn"]): PlannedCluster => {
+    nextDraw = 0;
     return planCluster({
       ...(warn === undefined ? {} : { warn }),
       file,
-      world: once,
+      world: recordingWorld,
       cluster,
       team: options.team ?? null,
       user,
@@ -91,39 +92,42 @@
       environment: options.env ?? [],
     });
   };
-  const first = readWhole(() =>
+  const first = withFinalErrors(() =>
     plan(0, (text, { file: name, line }) => {
       process.stderr.write(`${name}:${line}: ${text}\n`);
     }),
   );
   if (options.dryRun === true) {
-    if (options.json === true) json({ ...first, jobs: bodiesOf(first, 0) });
+    if (options.json === true) writeJson({ ...first, jobs: submissionBodies(first, 0) });
     else write(clusterText(first));
     return;
   }
   if (options.node === undefined) throw new RequestRefused("give --node <host:port>, or --dry-run");
   const pending =
     options.name === undefined
-      ? pendingOf(digestOf(options.node, [[...seen], options.team, user, timeZone]))
-      : { name: options.name, settle: () => undefined };
-  await within(options.node, async (client) => {
+      ? openPendingSubmission(
+          submissionDigest(options.node, [[...inputs], options.team, user, timeZone]),
+        )
+      : { name: options.name, complete: () => undefined };
+  await withClient(options.node, async (client) => {
     try {
       const { cluster, taken } = await client.submit(pending.name, user, first, (id) => plan(id));
-      pending.settle();
-      if (options.json === true) json({ cluster, procs: taken.procs, jobs: taken.jobs.length });
+      pending.complete();
+      if (options.json === true)
+        writeJson({ cluster, procs: taken.procs, jobs: taken.jobs.length });
       else write(`${taken.procs} job(s) submitted to cluster ${cluster}.\n`);
     } catch (error) {
-      if (error instanceof RequestRefused) pending.settle();
+      if (error instanceof RequestRefused) pending.complete();
       if (!(error instanceof Unanswered)) throw error;
       throw new Unanswered(
-        `${error.message}; handing the same file in again submits nothing twice`,
+        `${error.message}; submitting the same file again will not submit any job twice`,
       );
     }
   });
 }
 
-/** What is wrong with a file is final, and told as such. */
-function readWhole(read: () => Cluster): Cluster {
+/** Reports errors of a submit file as final refusals, so that they are not retried. */
+function withFinalErrors(read: () => PlannedCluster): PlannedCluster {
   try {
     return read();
   } catch (error) {
@@ -131,23 +135,23 @@
   }
 }
 
-interface Chosen {
+interface Selection {
   cluster: number;
   jobs: number[] | null;
 }
 
-/** `12`, `12.3` or `wk-c12.3`. */
-export function chosen(text: string): Chosen {
+/** Parses `12` (a cluster), `12.3` or `wk-c12.3` (a job of it). */
+export function parseSelection(text: string): Selection {
   const place = parseJobId(text) ?? parseJobId(`wk-c${text}`);
   if (place !== null) return { cluster: place.cluster, jobs: [place.index] };
   if (/^\d{1,15}$/.test(text)) return { cluster: Number(text), jobs: null };
   throw new RequestRefused(`${text}: a cluster such as 12, or a job of it such as 12.3`);
 }
 
-/** Several jobs of one cluster are one request. */
-function grouped(texts: readonly string[]): Chosen[] {
-  const out = new Map<number, Chosen>();
-  for (const { cluster, jobs } of texts.map(chosen)) {
+/** Merges selections by cluster, so that several jobs of one cluster take one request. */
+function groupByCluster(texts: readonly string[]): Selection[] {
+  const out = new Map<number, Selection>();
+  for (const { cluster, jobs } of texts.map(parseSelection)) {
     const known = out.get(cluster);
     if (known === undefined) out.set(cluster, { cluster, jobs });
     else known.jobs = known.jobs === null || jobs === null ? null : [...known.jobs, ...jobs];
@@ -167,14 +171,14 @@
     .argument("[clusters...]", "cluster numbers")
     .option("--team <team>", "only this team's")
     .action(async (ids: string[], { node, json: asJson, team }) =>
-      within(node, async (client) => {
+      withClient(node, async (client) => {
         if (ids.length === 0) {
           const clusters = await client.queue(team ?? null);
-          return asJson ? json(clusters) : write(queueText(clusters));
+          return asJson ? writeJson(clusters) : write(queueText(clusters));
         }
-        for (const { cluster } of grouped(ids)) {
+        for (const { cluster } of groupByCluster(ids)) {
           const jobs = await client.jobs(cluster);
-          if (asJson) json(jobs);
+          if (asJson) writeJson(jobs);
           else write(jobsText(jobs));
         }
       }),
@@ -183,29 +187,29 @@
     .option("--team <team>", "only this team's")
     .option("--limit <n>", "how many", Number, 50)
     .action(async ({ node, json: asJson, team, limit }) =>
-      within(node, async (client) => {
+      withClient(node, async (client) => {
         const clusters = await client.history(team ?? null, limit);
-        return asJson ? json(clusters) : write(historyText(clusters));
+        return asJson ? writeJson(clusters) : write(historyText(clusters));
       }),
     );
   const change = (
     name: string,
     description: string,
     said: string,
-    run: (client: SubmitClient, one: Chosen, reason: string) => Promise<unknown>,
+    run: (client: SubmitClient, one: Selection, reason: string) => Promise<unknown>,
   ): Command =>
     command(name, description)
       .argument("<jobs...>", "clusters, such as 12, or jobs of them, such as 12.3")
       .option("--reason <text>", "shown by q", "by the user")
       .action(async (ids: string[], { node, json: asJson, reason }) =>
-        within(node, async (client) => {
-          for (const one of grouped(ids)) {
+        withClient(node, async (client) => {
+          for (const one of groupByCluster(ids)) {
             await run(client, one, reason);
             const which =
               one.jobs === null
                 ? `All jobs in cluster ${one.cluster}`
                 : `Job(s) ${one.jobs.map((job) => `${one.cluster}.${job}`).join(", ")}`;
-            if (asJson) json({ ...one, done: name });
+            if (asJson) writeJson({ ...one, done: name });
             else write(`${which} ${said}\n`);
           }
         }),
@@ -231,10 +235,10 @@
   command("analyze", "show why a job does, or does not, match machines")
     .argument("<job>", "a job, such as 12.0")
     .action(async (id: string, { node, json: asJson }) =>
-      within(node, async (client) => {
-        const { cluster, jobs } = chosen(id);
+      withClient(node, async (client) => {
+        const { cluster, jobs } = parseSelection(id);
         const found = await client.analyze(jobId(cluster, jobs?.[0] ?? 0));
-        return asJson ? json(found) : write(analysisText(found));
+        return asJson ? writeJson(found) : write(analysisText(found));
       }),
     );
   return program;
--- a/src/submit/user/format.ts
+++ b/src/submit/user/format.ts
@@ -1,7 +1,10 @@
-import type { Cluster } from "../map/cluster.js";
+import type { PlannedCluster } from "../map/cluster.js";
 import type { AnalysisView, ClusterJobs, ClusterView } from "./client.js";
 
-/** Columns as wide as what is in them; numbers to the right. */
+/**
+ * Formats a table with columns as wide as their widest cell. The first `left` columns are
+ * left-aligned.
+ */
 export function table(
   head: readonly string[],
   rows: readonly (readonly string[])[],
@@ -18,27 +21,27 @@
   return [head, ...rows].map(line).join("\n");
 }
 
-const two = (value: number): string => String(value).padStart(2, "0");
+const twoDigits = (value: number): string => String(value).padStart(2, "0");
 
 /** `12/1 16:40`, as condor_q has it. */
 export function shortTime(ms: number): string {
   const at = new Date(ms);
-  return `${at.getMonth() + 1}/${at.getDate()} ${two(at.getHours())}:${two(at.getMinutes())}`;
+  return `${at.getMonth() + 1}/${at.getDate()} ${twoDigits(at.getHours())}:${twoDigits(at.getMinutes())}`;
 }
 
-const count = (value: number): string => (value === 0 ? "_" : String(value));
+const countOrUnderscore = (value: number): string => (value === 0 ? "_" : String(value));
 
-/** One line a cluster. */
+/** One line per cluster. */
 export function queueText(clusters: readonly ClusterView[]): string {
   const rows = clusters.map((one) => [
     one.user,
     (one.title ?? `ID: ${one.cluster}`) + (one.state === "open" ? " (being handed in)" : ""),
     shortTime(one.at),
     one.team,
-    count(one.done),
-    count(one.running),
-    count(one.idle),
-    count(one.held),
+    countOrUnderscore(one.done),
+    countOrUnderscore(one.running),
+    countOrUnderscore(one.idle),
+    countOrUnderscore(one.held),
     String(one.procs),
     one.procs === 1 ? `${one.cluster}.0` : `${one.cluster}.0-${one.procs - 1}`,
   ]);
@@ -60,7 +63,7 @@
   return `${table(head, rows, 4)}\n\n${totals}\n`;
 }
 
-/** One line a job of a cluster: procs that are alike are one job. */
+/** One line per job of a cluster; procs with the same plan are one job. */
 export function jobsText({ cluster, user, at, jobs }: ClusterJobs): string {
   const rows = jobs.map((job) => [
     `${cluster}.${job.index}`,
@@ -92,7 +95,7 @@
   return `${table(["ID", "OWNER", "BATCH_NAME", "SUBMITTED", "ST", "COMPLETED", "DONE", "REMOVED", "TOTAL"], rows, 6)}\n`;
 }
 
-/** What condor_q -better-analyze is for. */
+/** The output of `analyze`, which corresponds to condor_q -better-analyze. */
 export function analysisText(found: AnalysisView): string {
   const lines: string[] = [`${found.job}: ${found.status}${found.started ? ", has started" : ""}`];
   if (!found.handedIn) lines.push("Its cluster is still being handed in.");
@@ -112,7 +115,7 @@
       clause.text +
         (clause.unknown.length > 0 ? `   (no machine has ${clause.unknown.join(", ")})` : ""),
     ]);
-    // The clause is last and of any length, so it is not padded.
+    // The clause is the last column and of any length, so it is not padded.
     const widths = [4, 6, 9, 9];
     const line = (cells: readonly string[]): string =>
       cells.map((cell, i) => (i < 4 ? cell.padStart(widths[i]!) : cell)).join("  ");
@@ -129,7 +132,7 @@
 }
 
 /** What `--dry-run` prints: the jobs that a file asks for. */
-export function clusterText(cluster: Cluster): string {
+export function clusterText(cluster: PlannedCluster): string {
   const { procs, jobs, team } = cluster;
   const head = `${procs} proc${procs === 1 ? "" : "s"} in ${jobs.length} job${jobs.length === 1 ? "" : "s"} of team ${team}`;
   const parts = jobs.map(({ index, firstProc, procs: size, plan }) => {
--- a/src/submit/user/pending.ts
+++ b/src/submit/user/pending.ts
@@ -4,38 +4,43 @@
 import { join } from "node:path";
 
 /**
- * The name of a hand-in, kept until it is known what became of it. A sender that is cut off, or
- * ends, and hands the same file in again then asks under the same name, and gets the same cluster.
+ * The name of a submission, kept in a file until its result is known. A client that is cut off or
+ * ends and submits the same file again then uses the same name, and gets the same cluster.
  */
-export interface Pending {
+export interface PendingSubmission {
   name: string;
-  /** It is answered: the next hand-in of the same file is another one. */
-  settle(): void;
+  /**
+   * Deletes the name, since the result is known: the next submission of the same file is a new one.
+   */
+  complete(): void;
 }
 
-const folderOf = (env: NodeJS.ProcessEnv): string =>
+const pendingFolder = (env: NodeJS.ProcessEnv): string =>
   join(env.XDG_STATE_HOME ?? join(homedir(), ".local", "state"), "birchdale", "submits");
 
-/** What is the same for every try: the file's meaning, and where it goes. */
-export const digestOf = (node: string, meaning: unknown): string =>
+/** Digest of what is the same for every retry: the file's inputs and the controller's address. */
+export const submissionDigest = (node: string, inputs: unknown): string =>
   createHash("sha256")
-    .update(JSON.stringify([node, meaning]))
+    .update(JSON.stringify([node, inputs]))
     .digest("hex")
     .slice(0, 32);
 
-export function pendingOf(digest: string, env: NodeJS.ProcessEnv = process.env): Pending {
-  const folder = folderOf(env);
-  const file = join(folder, digest);
-  const settle = (): void => rmSync(file, { force: true });
+export function openPendingSubmission(
+  digest: string,
+  env: NodeJS.ProcessEnv = process.env,
+): PendingSubmission {
+  const directory = pendingFolder(env);
+  const file = join(directory, digest);
+  const complete = (): void => rmSync(file, { force: true });
   try {
     const name = readFileSync(file, "utf8").trim();
-    if (/^[\w-]{8,64}$/.test(name)) return { name, settle };
+    if (/^[\w-]{8,64}$/.test(name)) return { name, complete };
   } catch {
-    // None is open.
+    // No submission of this file is pending.
   }
   const name = randomUUID();
-  mkdirSync(folder, { recursive: true });
-  // Before anything is sent: what is sent under a name that is not kept could be sent twice.
+  mkdirSync(directory, { recursive: true });
+  // Written before anything is sent: a submission whose name is not kept could be sent twice.
   writeFileSync(file, `${name}\n`, { mode: 0o600 });
-  return { name, settle };
+  return { name, complete };
 }
--- a/test/classad-fuzz.test.ts
+++ b/test/classad-fuzz.test.ts
@@ -269,7 +269,7 @@
           team: null,
           user: "ann",
           timeZone: "Etc/UTC",
-          procs: 100,
+          maxProcs: 100,
         });
         taken++;
       } catch (error) {
--- a/test/submit-corpus.test.ts
+++ b/test/submit-corpus.test.ts
@@ -3,7 +3,7 @@
 import { join } from "node:path";
 import { test } from "node:test";
 import { Ad, parseExpression, print } from "../src/classad/index.js";
-import { bodiesOf, planCluster, SubmitError } from "../src/submit/index.js";
+import { planCluster, SubmitError, submissionBodies } from "../src/submit/index.js";
 import { parseSubmission } from "../src/wire/jobs.js";
 import { PlacingBench } from "./support/placement-bench.js";
 import { corpusWorld, matchingOf, typeOf } from "./support/submit.js";
@@ -70,7 +70,7 @@
     assert.equal(cluster.jobs.length, expected.jobs.length);
     assert.equal(cluster.most, expected.most ?? null);
     assert.equal(cluster.held, expected.held ?? false);
-    for (const [i, body] of bodiesOf(cluster, 41).entries()) {
+    for (const [i, body] of submissionBodies(cluster, 41).entries()) {
       const { at, ad: attributes, ...wanted } = expected.jobs[i]!;
       const { plan, procs } = cluster.jobs[i]!;
       const seen: Record<string, unknown> = {
--- a/test/submit.test.ts
+++ b/test/submit.test.ts
@@ -21,7 +21,7 @@
 } from "../src/submit/index.js";
 import type { JobState } from "../src/submit/site/cluster-index.js";
 import { type ClusterRecord, withHold, withRelease } from "../src/submit/site/records.js";
-import { pendingOf } from "../src/submit/user/pending.js";
+import { openPendingSubmission } from "../src/submit/user/pending.js";
 import { BY_REQUIREMENTS, type JobSpec, parseSubmission } from "../src/wire/jobs.js";
 import { kindAllowed, typeFits } from "../src/workers/machine.js";
 import { PlacementConstraints } from "../src/workers/placement-constraints.js";
@@ -475,7 +475,7 @@
     () =>
       planCluster({
         ...options,
-        jobs: 3,
+        maxJobs: 3,
         world: textWorld({
           "job.sub":
             "executable = run\naccounting_group = red\nrequest_cpus = $INT(ProcId) + 1\nqueue 9\n",
@@ -512,10 +512,10 @@
   const env = {
     XDG_STATE_HOME: join(process.env.TMPDIR ?? "/tmp", `birchdale-test-${process.pid}`),
   };
-  const first = pendingOf("digest", env);
-  assert.equal(pendingOf("digest", env).name, first.name);
-  assert.notEqual(pendingOf("other", env).name, first.name);
-  first.settle();
-  assert.notEqual(pendingOf("digest", env).name, first.name);
-  for (const digest of ["digest", "other"]) pendingOf(digest, env).settle();
+  const first = openPendingSubmission("digest", env);
+  assert.equal(openPendingSubmission("digest", env).name, first.name);
+  assert.notEqual(openPendingSubmission("other", env).name, first.name);
+  first.complete();
+  assert.notEqual(openPendingSubmission("digest", env).name, first.name);
+  for (const digest of ["digest", "other"]) openPendingSubmission(digest, env).complete();
 });
--- a/test/support/clusters.ts
+++ b/test/support/clusters.ts
@@ -2,7 +2,7 @@
 import type { Answer } from "../../src/http/client.js";
 import { NoAnswer } from "../../src/http/client.js";
 import type { Operators } from "../../src/settings/operators.js";
-import { type Cluster, planCluster, SubmitClient } from "../../src/submit/index.js";
+import { type PlannedCluster, planCluster, SubmitClient } from "../../src/submit/index.js";
 import type { ClusterView } from "../../src/submit/user/client.js";
 import type { TeamSettings } from "./platform-settings.js";
 import { textWorld } from "./submit.js";
@@ -85,7 +85,7 @@
     return new SubmitClient("none", world.clock, { call } as never, patienceMs);
   }
 
-  plan(text: string, cluster = 0): Cluster {
+  plan(text: string, cluster = 0): PlannedCluster {
     const wall = this.world.clock.wall();
     return planCluster({
       file: "job.sub",
