--- a/test/submit-corpus.test.ts
+++ b/test/submit-corpus.test.ts
@@ -6,18 +6,18 @@
 import { planCluster, SubmitError, submissionBodies } from "../src/submit/index.js";
 import { parseSubmission } from "../src/wire/jobs.js";
 import { PlacingBench } from "./support/placement-bench.js";
-import { corpusWorld, matchingOf, typeOf } from "./support/submit.js";
+import { corpusWorld, createMatcher, machineType } from "./support/submit.js";
 
 const BASE = join(import.meta.dirname, "../../test/corpus/submit");
 const TYPES = new Map(
   [
-    typeOf("small", 4, 8),
-    typeOf("big", 32, 128),
-    typeOf("gpu", 16, 64, 4, ["north"]),
-    typeOf("arm", 8, 16, 0, ["south"]),
+    machineType("small", 4, 8),
+    machineType("big", 32, 128),
+    machineType("gpu", 16, 64, 4, ["north"]),
+    machineType("arm", 8, 16, 0, ["south"]),
   ].map((type) => [type.name, type]),
 );
-/** Name, type, zone, whether the cloud may take it: in the order in which the core knows them. */
+/** Name, type, zone, spot; in the order in which they are added to the placement bench. */
 const MACHINES: [string, string, string, boolean][] = [
   ["small-1", "small", "north", false],
   ["small-2", "small", "south", true],
@@ -28,7 +28,7 @@
 ];
 
 interface ExpectedJob {
-  /** The machine that its first task goes to when all are empty; null: it waits. */
+  /** The machine where its first task is placed when all are empty; null: it waits. */
   at: string | null;
   [field: string]: unknown;
 }
@@ -40,9 +40,12 @@
   held?: boolean;
 }
 
-const matching = await matchingOf(readFileSync(join(BASE, "site.textproto"), "utf8"), TYPES);
+const corpusMatcher = await createMatcher(
+  readFileSync(join(BASE, "site.textproto"), "utf8"),
+  TYPES,
+);
 
-const read = (name: string) =>
+const planFile = (name: string) =>
   planCluster({
     file: name,
     world: corpusWorld(BASE),
@@ -53,7 +56,7 @@
     environment: ["HOME_SITE", "NOWHERE"],
   });
 
-const expectationIn = (name: string, mark: string): string => {
+const expectationOf = (name: string, mark: string): string => {
   const text = readFileSync(join(BASE, name), "utf8");
   return text
     .split(/\r\n|\r|\n/)
@@ -64,8 +67,8 @@
 for (const file of readdirSync(join(BASE, "taken")).sort()) {
   const name = `taken/${file}`;
   test(`submit file: ${file}`, () => {
-    const expected = JSON.parse(expectationIn(name, "#= ")) as Expected;
-    const cluster = read(name);
+    const expected = JSON.parse(expectationOf(name, "#= ")) as Expected;
+    const cluster = planFile(name);
     assert.equal(cluster.procs, expected.procs);
     assert.equal(cluster.jobs.length, expected.jobs.length);
     assert.equal(cluster.most, expected.most ?? null);
@@ -100,13 +103,13 @@
       for (const [attribute, text] of Object.entries((attributes ?? {}) as object)) {
         assert.equal(print(ad.get(attribute.toLowerCase())!.node), text);
       }
-      // What is sent is what a controller reads, and its texts are canonical.
+      // A controller parses the submission body, and its expressions are in canonical form.
       const parsed = parseSubmission(body);
       assert.ok(parsed.ok, parsed.ok ? "" : parsed.reason);
       if (plan.requirements !== "") {
         assert.equal(print(parseExpression(plan.requirements)), plan.requirements);
       }
-      const bench = new PlacingBench(TYPES, { ...wrap, cannotStart: () => false });
+      const bench = new PlacingBench(TYPES, { ...matcherWithoutHolds, cannotStart: () => false });
       for (const machine of MACHINES) bench.machine(...machine);
       const id = bench.job({ ...parsed.value.spec, team: "red", tasks: 1 });
       bench.pass();
@@ -115,11 +118,11 @@
   });
 }
 
-/** Moments and clusters keep jobs back elsewhere; here the question is only where they go. */
-const wrap = {
-  rank: matching.rank.bind(matching),
-  rankerFor: matching.rankerFor.bind(matching),
-  equivalenceKey: matching.equivalenceKey.bind(matching),
+/** The matcher without holds and limits: these tests check only where tasks are placed. */
+const matcherWithoutHolds = {
+  rank: corpusMatcher.rank.bind(corpusMatcher),
+  rankerFor: corpusMatcher.rankerFor.bind(corpusMatcher),
+  equivalenceKey: corpusMatcher.equivalenceKey.bind(corpusMatcher),
   holdReason: () => null,
   maxRunMs: () => null,
   maxRetries: () => null,
@@ -131,9 +134,9 @@
   if (file === "self.sub") continue;
   const name = `refused/${file}`;
   test(`submit file refused: ${file}`, () => {
-    const expected = expectationIn(name, "#! ");
+    const expected = expectationOf(name, "#! ");
     assert.throws(
-      () => read(name),
+      () => planFile(name),
       (error) => {
         assert.ok(error instanceof SubmitError, String(error));
         const { line, column } = error.place;
@@ -146,7 +149,7 @@
   });
 }
 
-test("submit corpus: at least 80 files that are taken and 40 that are refused", () => {
+test("submit corpus: at least 80 accepted and 40 refused files", () => {
   assert.ok(readdirSync(join(BASE, "taken")).length >= 80);
   assert.ok(readdirSync(join(BASE, "refused")).length >= 40);
 });
--- a/test/submit.test.ts
+++ b/test/submit.test.ts
@@ -26,53 +26,58 @@
 import { kindAllowed, typeFits } from "../src/workers/machine.js";
 import { PlacementConstraints } from "../src/workers/placement-constraints.js";
 import { PlacingBench, plainSpec } from "./support/placement-bench.js";
-import { extensionOf, matchingOf, NOW, textWorld, typeOf } from "./support/submit.js";
+import { createMatcher, loadExtension, machineType, NOW, textWorld } from "./support/submit.js";
 
 const TYPES = new Map(
-  [typeOf("small", 4, 8), typeOf("big", 32, 128)].map((type) => [type.name, type]),
+  [machineType("small", 4, 8), machineType("big", 32, 128)].map((type) => [type.name, type]),
 );
-const SITE = `submit {
+const OPERATOR_SETTINGS = `submit {
   machine { ad: "Arch = \\"X86_64\\"" }
   machine { type: "big" ad: "KFlops = 2000" }
   machine { type: "small" ad: "Idle = Busy == false" }
   machine { type: "small" ad: "KFlops = 1000" ad: "Busy = Cpus < TotalCpus" }
 }`;
-const matching = await matchingOf(SITE, TYPES);
+const matcherOfSite = await createMatcher(OPERATOR_SETTINGS, TYPES);
 
-const picky = (requirements: string, rank = "", ad = "", more: Partial<JobSpec> = {}): JobSpec => ({
+const specWithExpressions = (
+  requirements: string,
+  rank = "",
+  ad = "",
+  more: Partial<JobSpec> = {},
+): JobSpec => ({
   ...plainSpec,
   types: [BY_REQUIREMENTS],
   match: { ad, requirements, rank, atOnce: null },
   ...more,
 });
 
-const kind = (type: string, zone = "north", spot = true) => ({ type, zone, spot });
+const kindOf = (type: string, zone = "north", spot = true) => ({ type, zone, spot });
 
-test("matching: what changes with a machine's room is asked anew while a job waits", () => {
-  const bench = new PlacingBench(TYPES, matching);
+test("matching: expressions on free resources are evaluated again while a job waits", () => {
+  const bench = new PlacingBench(TYPES, matcherOfSite);
   bench.machine("big-1", "big", "north", true);
   const filler = bench.job({ cpus: 8, tasks: 3 });
   bench.pass();
   assert.equal(bench.where(filler).length, 3);
-  const waits = bench.job(picky("Cpus >= 16"));
-  const alone = bench.job(picky("Memory == TotalMemory"));
+  const waits = bench.job(specWithExpressions("Cpus >= 16"));
+  const alone = bench.job(specWithExpressions("Memory == TotalMemory"));
   bench.pass();
   assert.deepEqual(bench.where(waits), []);
   bench.clear(filler);
   for (const chunk of bench.ledger.jobs.get(filler)!.chunks.values()) chunk.movingTo = 1;
   bench.pass();
-  // The first takes its place, and then the machine is not empty any more.
+  // The first job is placed, so the machine is not empty for the second.
   assert.deepEqual(bench.where(waits), ["big-1"]);
   assert.deepEqual(bench.where(alone), []);
 });
 
 test("matching: a gang whose tasks match only across zones starts across zones, or not at all", () => {
-  const gang = picky("KFlops > 1500", "", "", { kind: "gang", tasks: 2, cpus: 20 });
+  const gang = specWithExpressions("KFlops > 1500", "", "", { kind: "gang", tasks: 2, cpus: 20 });
   for (const [oneZone, wanted] of [
     [false, ["big-n", "big-s"]],
     [true, []],
   ] as const) {
-    const bench = new PlacingBench(TYPES, matching);
+    const bench = new PlacingBench(TYPES, matcherOfSite);
     for (const zone of ["north", "south"]) {
       bench.machine(`big-${zone[0]}`, "big", zone, true);
       for (let i = 0; i < 12; i++) bench.machine(`small-${zone}-${i}`, "small", zone, true);
@@ -84,7 +89,7 @@
 });
 
 test("matching: a gang takes the machines that it ranks highest", () => {
-  const bench = new PlacingBench(TYPES, matching);
+  const bench = new PlacingBench(TYPES, matcherOfSite);
   for (const [name, type] of [
     ["s1", "small"],
     ["b1", "big"],
@@ -93,20 +98,22 @@
   ] as const) {
     bench.machine(name, type, "north", true);
   }
-  const id = bench.job(picky("", "KFlops", "", { kind: "gang", tasks: 2, cpus: 4 }));
+  const id = bench.job(specWithExpressions("", "KFlops", "", { kind: "gang", tasks: 2, cpus: 4 }));
   bench.pass();
   assert.deepEqual(new Set(bench.where(id)), new Set(["b1"]));
-  const low = bench.job(picky("", "-KFlops", "", { kind: "gang", tasks: 2, cpus: 4 }));
+  const low = bench.job(
+    specWithExpressions("", "-KFlops", "", { kind: "gang", tasks: 2, cpus: 4 }),
+  );
   bench.pass();
   assert.deepEqual(bench.where(low).sort(), ["s1", "s2"]);
 });
 
 test("rank orders machines, never jobs or teams: the same tasks start with it and without", () => {
   const order = (rank: string): string[] => {
-    const bench = new PlacingBench(TYPES, matching, ["red", "blue"]);
+    const bench = new PlacingBench(TYPES, matcherOfSite, ["red", "blue"]);
     bench.machine("s1", "small", "north", false);
     bench.machine("s2", "small", "north", true);
-    const red = bench.job(picky("", rank, "", { team: "red", tasks: 6 }));
+    const red = bench.job(specWithExpressions("", rank, "", { team: "red", tasks: 6 }));
     const blue = bench.job({ team: "blue", tasks: 6 });
     bench.pass();
     return [`${bench.where(red).length}`, `${bench.where(blue).length}`];
@@ -116,9 +123,9 @@
   assert.deepEqual(order("-1000000"), ["4", "4"]);
 });
 
-test("rank: what a job likes best may be dear; what is rented for it is still the cheapest that will do", () => {
-  const places = new PlacementConstraints(matching);
-  const spec = picky("TotalCpus >= 4", "Spot == false");
+test("rank: a job may rank expensive machines highest, but the cheapest suitable machine is rented for it", () => {
+  const places = new PlacementConstraints(matcherOfSite);
+  const spec = specWithExpressions("TotalCpus >= 4", "Spot == false");
   const offers = [...TYPES.values()].flatMap((type) =>
     [false, true].map((spot) => ({ type, zone: "north", spot, price: spot ? 1 : 9 })),
   );
@@ -146,21 +153,21 @@
   );
 });
 
-test("a controller of the version before refuses such a job, starts none of it and rents nothing for it", () => {
-  // What it sees: the header's fields that it knows of.
-  const { match: _, ...seen } = picky("true");
+test("a controller of the previous version refuses a job with expressions, starts no task and rents no machine for it", () => {
+  // That version reads only the header fields that it knows.
+  const { match: _, ...seen } = specWithExpressions("true");
   for (const type of TYPES.values()) {
     assert.equal(typeFits(seen, type), false, "it answers 422");
     assert.equal(
-      kindAllowed(seen, kind(type.name)),
+      kindAllowed(seen, kindOf(type.name)),
       false,
-      "it places nothing, and stops nobody for it",
+      "it places nothing and stops no task for it",
     );
   }
   const offers = [...TYPES.values()].map((type) => ({ type, zone: "north", spot: true, price: 1 }));
   const need = { cpus: 1, gpus: 0, memGb: 1, spot: true, types: seen.types, zone: null, count: 2 };
   assert.deepEqual(plan([need], [], TYPES, offers, 50), []);
-  // And what it would take by mistake, a job that also names types, nobody takes.
+  // It would accept a job that also names machine types, so every version refuses such a job.
   const body = { ad: "[]", builds: ["small"] };
   const whole = {
     uid: "wk-1",
@@ -182,14 +189,14 @@
   assert.equal(parseSubmission({ ...whole, ...body }).ok, false);
   assert.equal(parseSubmission({ ...whole, builds: [BY_REQUIREMENTS] }).ok, false);
   assert.equal(parseSubmission({ ...whole, ...body, builds: [BY_REQUIREMENTS] }).ok, true);
-  // Without the package, nothing is a place for it, and nothing is wanted for it.
+  // Without the package, no machine is allowed for the job and none is requested for it.
   const places = new PlacementConstraints(null);
-  assert.equal(places.allows(picky("true"), kind("big")), false);
-  assert.equal(places.cannotStart("wk-1", picky("true")), true);
-  assert.equal(places.allows(plainSpec, kind("big")), true);
+  assert.equal(places.allows(specWithExpressions("true"), kindOf("big")), false);
+  assert.equal(places.cannotStart("wk-1", specWithExpressions("true")), true);
+  assert.equal(places.allows(plainSpec, kindOf("big")), true);
 });
 
-test("an expression is evaluated once for a kind of machine, and again only for what changes", () => {
+test("an expression is evaluated once per machine kind, and again only when what it depends on changes", () => {
   const rules = readSettings({ machine: [{ ad: ['Arch = "X86_64"'] }] }, [], (reason) =>
     assert.fail(reason),
   ).rules;
@@ -200,25 +207,25 @@
     () => TYPES,
     () => now,
   );
-  const fixed = picky('Arch == "X86_64"', "TotalCpus");
-  const byRoom = picky("Cpus > 2");
-  const byTime = picky("time() < 1000");
+  const fixed = specWithExpressions('Arch == "X86_64"', "TotalCpus");
+  const byRoom = specWithExpressions("Cpus > 2");
+  const byTime = specWithExpressions("time() < 1000");
   const room = { cpus: 3, gpus: 0, memGb: 4 };
   const cost = (spec: JobSpec, times: number): number => {
     const before = matcher.evaluations;
-    for (let i = 0; i < times; i++) matcher.rank(spec, kind("small"), { ...room });
+    for (let i = 0; i < times; i++) matcher.rank(spec, kindOf("small"), { ...room });
     return matcher.evaluations - before;
   };
   assert.equal(cost(fixed, 1000), 2, "requirements and rank");
-  assert.equal(cost({ ...fixed, match: { ...fixed.match! } }, 1000), 0, "a job that is alike");
+  assert.equal(cost({ ...fixed, match: { ...fixed.match! } }, 1000), 0, "an equivalent job");
   assert.equal(cost(byRoom, 1000), 1);
   room.cpus = 2;
   assert.equal(cost(byRoom, 1000), 1);
-  assert.equal(matcher.rank(byRoom, kind("small"), room), null);
+  assert.equal(matcher.rank(byRoom, kindOf("small"), room), null);
   assert.equal(cost(byTime, 1000), 1);
   now = 2000;
   assert.equal(cost(byTime, 1000), 1);
-  assert.equal(matcher.rank(byTime, kind("small"), room), null);
+  assert.equal(matcher.rank(byTime, kindOf("small"), room), null);
   assert.equal(
     matcher.equivalenceKey(fixed),
     matcher.equivalenceKey({ ...fixed, match: { ...fixed.match! } }),
@@ -226,36 +233,36 @@
   assert.equal(matcher.equivalenceKey(byRoom), null);
   assert.equal(matcher.equivalenceKey(byTime), null);
   for (const clock of ["time()", "currentTime()", 'formatTime() == ""', "absTime() =!= 1"]) {
-    assert.equal(matcher.equivalenceKey(picky(`${clock} || true`)), null, clock);
+    assert.equal(matcher.equivalenceKey(specWithExpressions(`${clock} || true`)), null, clock);
   }
-  assert.notEqual(matcher.equivalenceKey(picky('formatTime(0) == ""')), null);
+  assert.notEqual(matcher.equivalenceKey(specWithExpressions('formatTime(0) == ""')), null);
 });
 
-test("attributes that operators make of what is free change with it", () => {
-  const bench = new PlacingBench(TYPES, matching);
+test("operators' attributes that depend on free resources change with them", () => {
+  const bench = new PlacingBench(TYPES, matcherOfSite);
   bench.machine("s1", "small", "north", true);
-  const first = bench.job(picky("Busy == false"));
-  const second = bench.job(picky("Busy == false"));
+  const first = bench.job(specWithExpressions("Busy == false"));
+  const second = bench.job(specWithExpressions("Busy == false"));
   bench.pass();
   assert.deepEqual([bench.where(first), bench.where(second)], [["s1"], []]);
 });
 
-test("also through attributes of another rule", () => {
-  assert.equal(matching.equivalenceKey(picky("Idle")), null);
-  assert.notEqual(matching.equivalenceKey(picky("KFlops > 1")), null);
+test("operators' attributes depend on free resources also through attributes of another rule", () => {
+  assert.equal(matcherOfSite.equivalenceKey(specWithExpressions("Idle")), null);
+  assert.notEqual(matcherOfSite.equivalenceKey(specWithExpressions("KFlops > 1")), null);
 });
 
-test("what one team's job has found out says nothing of another team's", async () => {
+test("match results of one team's job are not used for another team's job", async () => {
   const start = `submit { machine { type: "small" start: "TARGET.Team == \\"blue\\"" } }`;
-  const bench = new PlacingBench(TYPES, await matchingOf(start, TYPES), ["red", "blue"]);
+  const bench = new PlacingBench(TYPES, await createMatcher(start, TYPES), ["red", "blue"]);
   bench.machine("s1", "small", "north", true);
-  const red = bench.job(picky("true", "", "", { team: "red" }));
-  const blue = bench.job(picky("true", "", "", { team: "blue" }));
+  const red = bench.job(specWithExpressions("true", "", "", { team: "red" }));
+  const blue = bench.job(specWithExpressions("true", "", "", { team: "blue" }));
   bench.pass();
   assert.deepEqual([bench.where(red), bench.where(blue)], [[], ["s1"]]);
 });
 
-test("analyze: each clause alone, together, and by what it excludes", () => {
+test("analyze: counts machines per clause: alone, together with earlier clauses, and excluded by it only", () => {
   const rules = readSettings(
     {
       machine: [
@@ -273,12 +280,12 @@
     () => 0,
   );
   const rooms: KindCapacity[] = [
-    { ...kind("small"), capacity: 40, free: 40, most: 4 },
-    { ...kind("small", "south", false), capacity: 8, free: 8, most: 4 },
-    { ...kind("big"), capacity: 96, free: 96, most: 32 },
+    { ...kindOf("small"), capacity: 40, free: 40, most: 4 },
+    { ...kindOf("small", "south", false), capacity: 8, free: 8, most: 4 },
+    { ...kindOf("big"), capacity: 96, free: 96, most: 32 },
   ];
   const look = (spec: JobSpec) => analyze(spec, matcher, rooms, TYPES, ["north", "south"]);
-  const found = look(picky('Arch == "X86_64" && Fast && Zone == "south" && Ram > 1'));
+  const found = look(specWithExpressions('Arch == "X86_64" && Fast && Zone == "south" && Ram > 1'));
   assert.deepEqual(
     found.clauses.map(({ text, alone, together, excludes, unknown }) => [
       text,
@@ -296,14 +303,14 @@
   );
   assert.equal(found.worst, "Ram > 1");
   assert.deepEqual([found.machines, found.fitting, found.matching], [15, 15, 0]);
-  const one = look(picky("Fast && Spot"));
+  const one = look(specWithExpressions("Fast && Spot"));
   assert.deepEqual([one.matching, one.refusing, one.clauses[0]!.excludes], [0, 3, 10]);
-  const two = look(picky("Fast", "", "", { cpus: 2 }));
+  const two = look(specWithExpressions("Fast", "", "", { cpus: 2 }));
   assert.deepEqual([two.matching, two.refusing], [3, 0]);
-  assert.equal(look(picky("", "", "", { cpus: 16 })).fitting, 3);
+  assert.equal(look(specWithExpressions("", "", "", { cpus: 16 })).fitting, 3);
 });
 
-const record = (more: Partial<ClusterRecord> = {}): ClusterRecord => ({
+const clusterRecord = (more: Partial<ClusterRecord> = {}): ClusterRecord => ({
   name: "n",
   team: "red",
   user: "ann",
@@ -318,29 +325,30 @@
   ...more,
 });
 
-const jobsOf = (...states: ("open" | "done" | null)[]): JobState[] =>
+const jobStates = (...states: ("open" | "done" | null)[]): JobState[] =>
   states.map((status, index) => ({
     index,
     id: `wk-c1.${index}`,
     header: status === null ? null : ({ status, tasks: 2 } as JobHeader),
   }));
 
-test("clusters: so many jobs may start that no more procs than allowed are placed at a time", () => {
+test("clusters: the start limit keeps the procs placed at the same time within max_materialize", () => {
   const rows: [Partial<ClusterRecord>, JobState[], number | null][] = [
-    [{}, jobsOf("open"), null],
-    [{ upTo: 0, most: 4 }, jobsOf("open", "open", "open", "open"), 2],
-    [{ upTo: 2, most: 4 }, jobsOf("done", "open", "open", "open"), 3],
-    [{ upTo: 0, most: 1 }, jobsOf("open", "open"), 1],
-    [{ upTo: 1, most: 1 }, jobsOf("done", "open"), 2],
-    [{ upTo: 0, most: 100 }, jobsOf("open", "open"), 2],
-    // Never taken back, and never beyond what is there.
-    [{ upTo: 3, most: 2 }, jobsOf("open", "open", "open"), 3],
-    [{ upTo: 0, most: 9 }, jobsOf("open", null, "open"), 1],
+    [{}, jobStates("open"), null],
+    [{ upTo: 0, most: 4 }, jobStates("open", "open", "open", "open"), 2],
+    [{ upTo: 2, most: 4 }, jobStates("done", "open", "open", "open"), 3],
+    [{ upTo: 0, most: 1 }, jobStates("open", "open"), 1],
+    [{ upTo: 1, most: 1 }, jobStates("done", "open"), 2],
+    [{ upTo: 0, most: 100 }, jobStates("open", "open"), 2],
+    // The limit never decreases, and never goes beyond the submitted jobs.
+    [{ upTo: 3, most: 2 }, jobStates("open", "open", "open"), 3],
+    [{ upTo: 0, most: 9 }, jobStates("open", null, "open"), 1],
   ];
-  for (const [more, jobs, wanted] of rows) assert.equal(startLimit(record(more), jobs), wanted);
+  for (const [more, jobs, wanted] of rows)
+    assert.equal(startLimit(clusterRecord(more), jobs), wanted);
 });
 
-test("clusters: periodic expressions see the job's state, and the user's hold stays the user's", () => {
+test("clusters: periodic expressions see the job's state, and do not release a hold by the user", () => {
   const ad = (text: string): Ad => Ad.parse(text);
   const header = { at: 10_000, started: false };
   const rows: [string, string | null, boolean, number, string | null][] = [
@@ -365,16 +373,16 @@
   }
 });
 
-test("clusters: holds stay within a record", () => {
-  const some = withHold(record(), [1, 2], "why");
+test("clusters: the holds in a record are bounded", () => {
+  const some = withHold(clusterRecord(), [1, 2], "why");
   assert.deepEqual(some.held, { 1: "why", 2: "why" });
   assert.deepEqual(withRelease(some, [1])!.held, { 2: "why" });
-  assert.deepEqual(withRelease(withHold(record(), null, "all"), [0])!.held, {
+  assert.deepEqual(withRelease(withHold(clusterRecord(), null, "all"), [0])!.held, {
     1: "all",
     2: "all",
     3: "all",
   });
-  const large = record({ jobs: 500 });
+  const large = clusterRecord({ jobs: 500 });
   const many = withHold(
     large,
     Array.from({ length: 100 }, (_, i) => i),
@@ -385,7 +393,7 @@
   assert.equal(withRelease(withHold(large, null, "all"), [3]), null);
 });
 
-test("frames: what expressions add to a summary comes through, and only then", () => {
+test("frames: fields that expressions add to a summary are decoded; plain summaries keep the older frame kind", () => {
   const summary: Summary = {
     token: 1,
     seq: 2,
@@ -420,12 +428,12 @@
   const told: Summary = { ...summary, need: [], progress: [["wk-1", 2, 5]], starved: 1, rooms: [] };
   assert.deepEqual(over(told), told);
   const plain = { ...summary, need: [] };
-  // The kind of frame that every version knows.
+  // Frame kind 2 is known to every version.
   assert.equal(encodeFrame({ kind: "summary", part: 3, summary: plain })[4], 2);
   assert.equal(encodeFrame({ kind: "summary", part: 3, summary })[4], 4);
 });
 
-test("operators' settings: machine ads and start expressions, with file and line of a mistake", async () => {
+test("operators' settings: errors in machine ads and start expressions name file and line", async () => {
   const rows: [string, RegExp][] = [
     ['submit {\n  machine { ad: "Arch = " }\n}', /submit:2: machine ad, character 7/],
     ['submit {\n  machine { ad: "Cpus = 3" }\n}', /set by the program/],
@@ -436,27 +444,33 @@
   ];
   for (const [text, wanted] of rows) {
     await assert.rejects(
-      extensionOf(text),
+      loadExtension(text),
       (error) => error instanceof SettingsError && wanted.test(error.message),
       text,
     );
   }
 });
 
-test("deploy/submit.textproto is what it says", async () => {
+test("deploy/submit.textproto parses and its machine ads match as described", async () => {
   const text = readFileSync(join(import.meta.dirname, "../../deploy/submit.textproto"), "utf8");
-  const deployed = await matchingOf(text, TYPES);
-  assert.equal(deployed.rank(picky('Arch == "X86_64" && OpSys == "LINUX"'), kind("big"), null), 0);
-  assert.equal(deployed.rank(picky("", "", "[ NeverSpot = true ]"), kind("big"), null), null);
+  const deployed = await createMatcher(text, TYPES);
+  assert.equal(
+    deployed.rank(specWithExpressions('Arch == "X86_64" && OpSys == "LINUX"'), kindOf("big"), null),
+    0,
+  );
+  assert.equal(
+    deployed.rank(specWithExpressions("", "", "[ NeverSpot = true ]"), kindOf("big"), null),
+    null,
+  );
 });
 
-test("docs/submit.md has every command of the language, as the program treats it", () => {
+test("docs/submit.md contains the program's table of all commands", () => {
   const page = readFileSync(join(import.meta.dirname, "../../docs/submit.md"), "utf8");
-  assert.ok(page.includes(commandTable()), "the table is not the program's");
+  assert.ok(page.includes(commandTable()), "docs/submit.md differs from the program's table");
   assert.ok(commands.size > 150);
 });
 
-test("a large cluster is read at once: a hundred thousand procs are one job", () => {
+test("a hundred thousand procs with equal plans become one job", () => {
   const world = textWorld({
     "job.sub": "executable = run\naccounting_group = red\narguments = $(ProcId)\nqueue 100000\n",
   });
@@ -485,7 +499,7 @@
   );
 });
 
-test("files are found from the folder that the command runs in, also for a file in another one", () => {
+test("paths are relative to the working directory, not to the submit file's directory", () => {
   const base = join(import.meta.dirname, "../../test/corpus");
   const cluster = planCluster({
     file: "submit/taken/001-plain.sub",
@@ -497,7 +511,7 @@
   });
   assert.equal(cluster.procs, 1);
   const world = realWorld(base);
-  // Found step by step, hidden files only when they are named.
+  // Patterns match hidden files only if they start with a dot.
   assert.deepEqual(world.match("submit/data/*", "any"), [
     "submit/data/1.dat",
     "submit/data/2.dat",
@@ -508,7 +522,7 @@
   assert.throws(() => world.read("nowhere.sub"));
 });
 
-test("the name of a hand-in is kept until it is answered", () => {
+test("the name of a pending submission is kept until it is answered", () => {
   const env = {
     XDG_STATE_HOME: join(process.env.TMPDIR ?? "/tmp", `birchdale-test-${process.pid}`),
   };
--- a/test/support/clusters.ts
+++ b/test/support/clusters.ts
@@ -19,17 +19,20 @@
   { name: "big", cores: 8, memGb: 64, rate: 3 },
 ];
 
-interface Record_ {
+interface StoredCluster {
   state: string;
   upTo: number | null;
   held: Record<string, string>;
 }
 
-/** A world in which submit files are handed in, and every start is judged against its requirements. */
+/**
+ * A simulation in which submit files are submitted; every task start is checked against its job's
+ * requirements.
+ */
 export class ClusterWorld {
   readonly world: World;
-  /** Answers to the next requests for these paths are lost, with what they did. */
-  lose: (path: string) => boolean = () => false;
+  /** Whether the answer to a request for this path is lost; the request itself is carried out. */
+  losesAnswer: (path: string) => boolean = () => false;
 
   constructor(
     operators: (n: number) => Partial<Operators>,
@@ -37,17 +40,20 @@
   ) {
     this.world = new World(seed, nodes, TEAMS, capacity, {}, ZONES, operators, 60);
     this.world.cloud.builds = BUILDS;
-    this.world.judge = (piece, on) => this.#judge(piece, on);
+    this.world.judge = (piece, on) => this.#startViolation(piece, on);
   }
 
-  /** By the reference, with an ad made here: nothing of how the program matches is used. */
-  #judge(piece: string, on: Worker): string | null {
+  /**
+   * Why a task must not start on a worker, or null. Uses the reference interpreter and an ad built
+   * here, so that it is independent of the package's matcher.
+   */
+  #startViolation(piece: string, on: Worker): string | null {
     const { body } = this.world.jobOf(piece);
     if (typeof body.ad !== "string") return null;
-    const record = this.record(body);
-    if (record !== null && record.state === "open") return "its cluster has not been taken";
+    const record = this.storedCluster(body);
+    if (record !== null && record.state === "open") return "its cluster has not been committed";
     if (record !== null && record.state === "removed" && !this.world.jobOf(piece).askedToCancel) {
-      return "its cluster was given up";
+      return "its cluster was removed";
     }
     if (typeof body.requirements !== "string") return null;
     const my = Ad.parse(body.ad);
@@ -60,10 +66,10 @@
     return truth(value) === true ? null : `not TRUE there: ${body.requirements}`;
   }
 
-  record({ uid }: { uid?: unknown }): Record_ | null {
+  storedCluster({ uid }: { uid?: unknown }): StoredCluster | null {
     const cluster = /^wk-c(\d+)\./.exec(String(uid))?.[1];
     const row = cluster === undefined ? undefined : this.world.state.rows.get(`w/x/c/${cluster}`);
-    return (row?.value as Record_ | undefined) ?? null;
+    return (row?.value as StoredCluster | undefined) ?? null;
   }
 
   client(patienceMs = 600_000): SubmitClient {
@@ -75,9 +81,9 @@
           : null;
       const n = world.random.int(0, world.nodes - 1);
       const answer = world.deaf.has(n) ? null : await world.ask(n, method, path, body as object);
-      if (answer === null || this.lose(path)) {
+      if (answer === null || this.losesAnswer(path)) {
         await world.sleep(1000);
-        throw new NoAnswer("nobody answered");
+        throw new NoAnswer("no answer: controller unreachable or answer lost");
       }
       if (job !== null && (answer.status === 201 || answer.status === 200)) world.users.follow(job);
       return answer;
@@ -103,8 +109,8 @@
     );
   }
 
-  /** Lets time pass until there is an answer. */
-  async wait<T>(asked: Promise<T>, ms = 900_000): Promise<T> {
+  /** Runs the clock until the promise settles; throws if it has not after `ms`. */
+  async runUntilSettled<T>(asked: Promise<T>, ms = 900_000): Promise<T> {
     let found: { value: T } | { error: unknown } | null = null;
     asked.then(
       (value) => {
@@ -116,24 +122,24 @@
     );
     for (let waited = 0; waited < ms && found === null; waited += 100)
       await this.world.clock.run(100);
-    if (found === null) throw new Error("no answer");
+    if (found === null) throw new Error(`promise not settled after ${ms} ms of simulated time`);
     const result = found as { value: T } | { error: unknown };
     if ("error" in result) throw result.error;
     return result.value;
   }
 
-  async until(what: () => boolean, ms = 240_000): Promise<boolean> {
+  async runUntil(what: () => boolean, ms = 240_000): Promise<boolean> {
     for (let waited = 0; waited < ms && !what(); waited += 100) await this.world.clock.run(100);
     return what();
   }
 
-  running(prefix: string): number {
+  runningTasks(prefix: string): number {
     return [...this.world.workers.values()]
       .flatMap((worker) => [...worker.tasks.values()])
       .filter(({ piece, state }) => piece.startsWith(prefix) && state !== "ended").length;
   }
 
-  async queue(): Promise<ClusterView[]> {
-    return this.wait(this.client().queue(null));
+  async queuedClusters(): Promise<ClusterView[]> {
+    return this.runUntilSettled(this.client().queue(null));
   }
 }
--- a/test/support/submit.ts
+++ b/test/support/submit.ts
@@ -10,7 +10,9 @@
 /** Tuesday, 1 December 2026, 17:00 UTC. */
 export const NOW = Date.UTC(2026, 11, 1, 17);
 
-/** Files of a folder, a clock that stands still, and an environment of two variables. */
+/**
+ * A file environment with the files of a directory, a fixed clock and two environment variables.
+ */
 export function corpusWorld(base: string): FileWorld {
   return {
     read: (path) => readFileSync(join(base, path)),
@@ -28,7 +30,7 @@
   };
 }
 
-/** Files that are texts. */
+/** A file environment whose files are given as texts or bytes. */
 export function textWorld(files: Record<string, string | Uint8Array>): FileWorld {
   return {
     ...corpusWorld("/"),
@@ -41,7 +43,7 @@
   };
 }
 
-export const typeOf = (
+export const machineType = (
   name: string,
   cpus: number,
   memGb: number,
@@ -49,14 +51,14 @@
   zones = ["north", "south"],
 ): MachineType => ({ name, cpus, memGb, gpus, price: 1, spotPrice: 0.3, bootS: 10, zones });
 
-export async function extensionOf(text: string, zones = ["north", "south"]): Promise<Extension> {
+export async function loadExtension(text: string, zones = ["north", "south"]): Promise<Extension> {
   const settings = settingsFor(0, 1, [{ name: "red", cpus: 1, max: 1 }], zones);
   const { extensions } = await parseOperators([{ file: "submit", text }], settings);
   return extensions[0]!;
 }
 
-/** What the core asks about expressions, with nothing round it. */
-export async function matchingOf(
+/** The package's job matcher, attached to a stub of the core. */
+export async function createMatcher(
   text: string,
   types: ReadonlyMap<string, MachineType>,
   wall: () => number = () => NOW,
@@ -70,5 +72,5 @@
     layout: { members: [] },
     types: () => types,
   };
-  return (await extensionOf(text)).attach(core as never).matcher!;
+  return (await loadExtension(text)).attach(core as never).matcher!;
 }
