--- a/src/submit/file/commands.ts
+++ b/src/submit/file/commands.ts
@@ -1,16 +1,16 @@
-/** What becomes of a command: it counts, it changes nothing here, or the file is refused. */
-export type Standing = "supported" | "without effect" | "refused";
+/** How a command is treated: it takes effect, it is ignored, or the file is refused. */
+export type CommandSupport = "supported" | "without effect" | "refused";
 
 export interface CommandInfo {
   name: string;
-  standing: Standing;
+  support: CommandSupport;
   /** What it does, why it has no effect, or why it is refused and what to write instead. */
   note: string;
 }
 
-type Group = Record<string, string>;
+type NotesByCommand = Record<string, string>;
 
-const SUPPORTED: Group = {
+const SUPPORTED: NotesByCommand = {
   accounting_group: "the team, up to the first point; what follows is kept in the ad",
   accounting_group_user: "who is shown as the job's owner",
   allowed_execute_duration: "a task that runs for longer is stopped, and its job held",
@@ -53,173 +53,174 @@
   universe: "vanilla only",
 };
 
-const FILES = "what a task reads and writes is the image's own; no files are sent";
-const MAIL = "no mail is sent; q and history show what became of a job";
-const ONE_KIND = "there is one kind of worker, which has it or needs none";
+const NO_FILE_TRANSFER = "what a task reads and writes is the image's own; no files are sent";
+const NO_MAIL = "no mail is sent; q and history show what became of a job";
+const ONE_WORKER_KIND = "there is one kind of worker, which has it or needs none";
 
-const WITHOUT_EFFECT: Group = {
-  append_files: FILES,
-  buffer_block_size: FILES,
-  buffer_files: FILES,
-  buffer_size: FILES,
-  compress_files: FILES,
+const WITHOUT_EFFECT: NotesByCommand = {
+  append_files: NO_FILE_TRANSFER,
+  buffer_block_size: NO_FILE_TRANSFER,
+  buffer_files: NO_FILE_TRANSFER,
+  buffer_size: NO_FILE_TRANSFER,
+  compress_files: NO_FILE_TRANSFER,
   coresize: "core files stay where the task runs",
-  copy_to_spool: FILES,
+  copy_to_spool: NO_FILE_TRANSFER,
   cron_prep_time: "a task is placed at its moment, not before",
   deferral_prep_time: "a task is placed at its moment, not before",
   description: "nothing reads it",
-  email_attributes: MAIL,
-  encrypt_execute_directory: ONE_KIND,
-  encrypt_input_files: FILES,
-  encrypt_output_files: FILES,
-  error: FILES,
-  fetch_files: FILES,
-  initialdir: FILES,
-  input: FILES,
+  email_attributes: NO_MAIL,
+  encrypt_execute_directory: ONE_WORKER_KIND,
+  encrypt_input_files: NO_FILE_TRANSFER,
+  encrypt_output_files: NO_FILE_TRANSFER,
+  error: NO_FILE_TRANSFER,
+  fetch_files: NO_FILE_TRANSFER,
+  initialdir: NO_FILE_TRANSFER,
+  input: NO_FILE_TRANSFER,
   job_lease_duration: "whether a task lives is proved by its worker, never by silence",
   job_max_vacate_time: "the time to save is MY.CheckpointSaveS",
   keep_claim_idle: "machines are not claimed by jobs",
-  kill_sig: ONE_KIND,
+  kill_sig: ONE_WORKER_KIND,
   kill_sig_timeout: "the time to save is MY.CheckpointSaveS",
-  load_profile: ONE_KIND,
-  local_files: FILES,
+  load_profile: ONE_WORKER_KIND,
+  local_files: NO_FILE_TRANSFER,
   log: "q, history and the controller's log have it",
   log_xml: "q, history and the controller's log have it",
   match_list_length: "nothing reads it",
   max_idle: "tasks that wait cost nothing here, so all may wait at once",
-  max_transfer_input_mb: FILES,
-  max_transfer_output_mb: FILES,
+  max_transfer_input_mb: NO_FILE_TRANSFER,
+  max_transfer_output_mb: NO_FILE_TRANSFER,
   next_job_start_delay: "tasks start when there is room; the image's source sees to its own load",
-  notification: MAIL,
-  notify_user: MAIL,
-  output: FILES,
-  output_destination: FILES,
-  preserve_relative_paths: FILES,
-  public_input_files: FILES,
-  remove_kill_sig: ONE_KIND,
-  should_transfer_files: FILES,
+  notification: NO_MAIL,
+  notify_user: NO_MAIL,
+  output: NO_FILE_TRANSFER,
+  output_destination: NO_FILE_TRANSFER,
+  preserve_relative_paths: NO_FILE_TRANSFER,
+  public_input_files: NO_FILE_TRANSFER,
+  remove_kill_sig: ONE_WORKER_KIND,
+  should_transfer_files: NO_FILE_TRANSFER,
   skip_filechecks: "no files are checked",
-  stack_size: ONE_KIND,
-  stream_error: FILES,
-  stream_input: FILES,
-  stream_output: FILES,
-  transfer_error: FILES,
-  transfer_executable: FILES,
-  transfer_input: FILES,
-  transfer_input_files: FILES,
-  transfer_output: FILES,
-  transfer_output_files: FILES,
-  transfer_output_remaps: FILES,
+  stack_size: ONE_WORKER_KIND,
+  stream_error: NO_FILE_TRANSFER,
+  stream_input: NO_FILE_TRANSFER,
+  stream_output: NO_FILE_TRANSFER,
+  transfer_error: NO_FILE_TRANSFER,
+  transfer_executable: NO_FILE_TRANSFER,
+  transfer_input: NO_FILE_TRANSFER,
+  transfer_input_files: NO_FILE_TRANSFER,
+  transfer_output: NO_FILE_TRANSFER,
+  transfer_output_files: NO_FILE_TRANSFER,
+  transfer_output_remaps: NO_FILE_TRANSFER,
   ulog_execute_attrs: "q, history and the controller's log have it",
   want_graceful_removal: "a task that is removed is stopped with the time to save that it has",
-  when_to_transfer_output: FILES,
+  when_to_transfer_output: NO_FILE_TRANSFER,
 };
 
-const GRID = "only the vanilla universe is here";
-const SECRETS = "the program keeps no credentials; give the image what it needs";
-const EXITS = "how a task ended is known as done or failed only; max_retries counts failures";
-const BY_GPU = "a GPU is a GPU here: say in requirements which machines will do";
+const NO_GRID = "only the vanilla universe is here";
+const NO_CREDENTIALS = "the program keeps no credentials; give the image what it needs";
+const NO_EXIT_CODES =
+  "how a task ended is known as done or failed only; max_retries counts failures";
+const GPU_REQUIREMENTS = "a GPU is a GPU here: say in requirements which machines will do";
 
-const REFUSED: Group = {
+const REFUSED: NotesByCommand = {
   allowed_job_duration: "write allowed_execute_duration, or periodic_remove with time() - QDate",
-  arc_application: GRID,
-  arc_resources: GRID,
-  arc_rte: GRID,
-  azure_admin_key: GRID,
-  azure_admin_username: GRID,
-  azure_auth_file: GRID,
-  azure_image: GRID,
-  azure_location: GRID,
-  azure_size: GRID,
-  batch_extra_submit_args: GRID,
-  batch_project: GRID,
-  batch_queue: GRID,
-  batch_runtime: GRID,
-  boinc_authenticator_file: GRID,
+  arc_application: NO_GRID,
+  arc_resources: NO_GRID,
+  arc_rte: NO_GRID,
+  azure_admin_key: NO_GRID,
+  azure_admin_username: NO_GRID,
+  azure_auth_file: NO_GRID,
+  azure_image: NO_GRID,
+  azure_location: NO_GRID,
+  azure_size: NO_GRID,
+  batch_extra_submit_args: NO_GRID,
+  batch_project: NO_GRID,
+  batch_queue: NO_GRID,
+  batch_runtime: NO_GRID,
+  boinc_authenticator_file: NO_GRID,
   checkpoint_exit_code: "say how a task saves: MY.CheckpointEveryS and MY.CheckpointSaveS",
-  cloud_label_names: GRID,
+  cloud_label_names: NO_GRID,
   concurrency_limits: "there are limits of teams, in the platform's settings",
   concurrency_limits_expr: "there are limits of teams, in the platform's settings",
-  container_service_names: GRID,
-  container_target_dir: FILES,
-  cream_attributes: GRID,
-  cuda_version: BY_GPU,
+  container_service_names: NO_GRID,
+  container_target_dir: NO_FILE_TRANSFER,
+  cream_attributes: NO_GRID,
+  cuda_version: GPU_REQUIREMENTS,
   dagman_log: "workflows are not read",
-  delegate_job_gsi_credentials_lifetime: SECRETS,
-  deltacloud_password_file: GRID,
+  delegate_job_gsi_credentials_lifetime: NO_CREDENTIALS,
+  deltacloud_password_file: NO_GRID,
   docker_network_type: "the image's network is the platform's",
   docker_override_entrypoint: "write executable and arguments",
   docker_pull_policy: "machines keep images by themselves",
   dont_encrypt_input_files: "nothing is encrypted file by file",
   dont_encrypt_output_files: "nothing is encrypted file by file",
-  ec2_access_key_id: GRID,
-  ec2_ami_id: GRID,
-  ec2_instance_type: GRID,
-  ec2_secret_access_key: GRID,
+  ec2_access_key_id: NO_GRID,
+  ec2_ami_id: NO_GRID,
+  ec2_instance_type: NO_GRID,
+  ec2_secret_access_key: NO_GRID,
   env: "the form before version 6: write environment",
-  erase_output_and_error_on_restart: FILES,
-  gce_account: GRID,
-  gce_image: GRID,
-  gce_machine_type: GRID,
-  globus_rsl: GRID,
-  gpus_maximum_capability: BY_GPU,
-  gpus_minimum_capability: BY_GPU,
-  gpus_minimum_memory: BY_GPU,
-  gpus_minimum_runtime: BY_GPU,
-  grid_resource: GRID,
-  gridmanager_log: GRID,
+  erase_output_and_error_on_restart: NO_FILE_TRANSFER,
+  gce_account: NO_GRID,
+  gce_image: NO_GRID,
+  gce_machine_type: NO_GRID,
+  globus_rsl: NO_GRID,
+  gpus_maximum_capability: GPU_REQUIREMENTS,
+  gpus_minimum_capability: GPU_REQUIREMENTS,
+  gpus_minimum_memory: GPU_REQUIREMENTS,
+  gpus_minimum_runtime: GPU_REQUIREMENTS,
+  grid_resource: NO_GRID,
+  gridmanager_log: NO_GRID,
   hold_kill_sig: "a held task is stopped with the time to save that it has",
   job_machine_attrs: "what a machine was is in the controller's log",
   job_machine_attrs_history_length: "what a machine was is in the controller's log",
   jar_files: "only the vanilla universe is here",
   java_vm_args: "only the vanilla universe is here",
-  kerberos_principal: SECRETS,
-  keystore_alias: SECRETS,
-  keystore_file: SECRETS,
-  keystore_passphrase_file: SECRETS,
+  kerberos_principal: NO_CREDENTIALS,
+  keystore_alias: NO_CREDENTIALS,
+  keystore_file: NO_CREDENTIALS,
+  keystore_passphrase_file: NO_CREDENTIALS,
   machine_count: "tasks that run only together are shape ensemble, by POST /api/jobs",
-  manifest: FILES,
-  mount_under_scratch: ONE_KIND,
-  my_proxy_credential_name: SECRETS,
-  myproxyserverdn: SECRETS,
+  manifest: NO_FILE_TRANSFER,
+  mount_under_scratch: ONE_WORKER_KIND,
+  my_proxy_credential_name: NO_CREDENTIALS,
+  myproxyserverdn: NO_CREDENTIALS,
   noop_job: "write no job at all",
   noop_job_exit_code: "write no job at all",
   noop_job_exit_signal: "write no job at all",
-  nordugrid_rsl: GRID,
-  on_exit_hold_reason: EXITS,
-  on_exit_hold_subcode: EXITS,
+  nordugrid_rsl: NO_GRID,
+  on_exit_hold_reason: NO_EXIT_CODES,
+  on_exit_hold_subcode: NO_EXIT_CODES,
   parallel_script_shadow: "only the vanilla universe is here",
   periodic_hold_reason: "the reason that is shown is the expression",
   periodic_hold_subcode: "the reason that is shown is the expression",
   periodic_vacate: "write periodic_hold and periodic_release",
   preferences: "the form before version 6: write rank",
-  primary_unix_group: ONE_KIND,
-  remote_initialdir: FILES,
+  primary_unix_group: ONE_WORKER_KIND,
+  remote_initialdir: NO_FILE_TRANSFER,
   request_dynamic: "write request_cpus and request_memory",
-  require_gpus: BY_GPU,
+  require_gpus: GPU_REQUIREMENTS,
   retry_request_memory: "write request_memory for the largest task",
-  retry_until: EXITS,
+  retry_until: NO_EXIT_CODES,
   run_as_owner: "tasks run as the image says",
-  s3_access_key_id_file: SECRETS,
-  s3_secret_access_key_file: SECRETS,
-  scitokens_file: SECRETS,
+  s3_access_key_id_file: NO_CREDENTIALS,
+  s3_secret_access_key_file: NO_CREDENTIALS,
+  scitokens_file: NO_CREDENTIALS,
   shell: "write executable and arguments",
-  starter_debug: ONE_KIND,
-  starter_log: ONE_KIND,
-  stage_in_files: FILES,
-  starttls: SECRETS,
+  starter_debug: ONE_WORKER_KIND,
+  starter_log: ONE_WORKER_KIND,
+  stage_in_files: NO_FILE_TRANSFER,
+  starttls: NO_CREDENTIALS,
   submit_event_notes: "write batch_name",
   submit_event_user_notes: "write batch_name",
-  success_exit_code: EXITS,
-  sudo: ONE_KIND,
+  success_exit_code: NO_EXIT_CODES,
+  sudo: ONE_WORKER_KIND,
   suspend_sig: "tasks are stopped, never suspended",
-  tool_daemon_args: ONE_KIND,
-  tool_daemon_cmd: ONE_KIND,
+  tool_daemon_args: ONE_WORKER_KIND,
+  tool_daemon_cmd: ONE_WORKER_KIND,
   transfer_checkpoint_files: "checkpoints are the image's own: MY.CheckpointEveryS",
-  transfer_plugins: FILES,
-  use_oauth_services: SECRETS,
-  use_scitokens: SECRETS,
-  use_x509userproxy: SECRETS,
+  transfer_plugins: NO_FILE_TRANSFER,
+  use_oauth_services: NO_CREDENTIALS,
+  use_scitokens: NO_CREDENTIALS,
+  use_x509userproxy: NO_CREDENTIALS,
   vm_checkpoint: "only the vanilla universe is here",
   vm_disk: "only the vanilla universe is here",
   vm_memory: "only the vanilla universe is here",
@@ -228,25 +229,25 @@
   vm_type: "only the vanilla universe is here",
   vm_vcpus: "only the vanilla universe is here",
   vmware_dir: "only the vanilla universe is here",
-  want_io_proxy: FILES,
-  want_name_tag: GRID,
-  want_remote_io: FILES,
-  x509userproxy: SECRETS,
+  want_io_proxy: NO_FILE_TRANSFER,
+  want_name_tag: NO_GRID,
+  want_remote_io: NO_FILE_TRANSFER,
+  x509userproxy: NO_CREDENTIALS,
   xen_initrd: "only the vanilla universe is here",
   xen_kernel: "only the vanilla universe is here",
 };
 
-const all = (standing: Standing, group: Group): [string, CommandInfo][] =>
-  Object.entries(group).map(([name, note]) => [name, { name, standing, note }]);
+const commandsOf = (support: CommandSupport, group: NotesByCommand): [string, CommandInfo][] =>
+  Object.entries(group).map(([name, note]) => [name, { name, support, note }]);
 
 /** Every command of the file language, by its name in lower case: the table in docs/submit.md. */
 export const commands: ReadonlyMap<string, CommandInfo> = new Map([
-  ...all("supported", SUPPORTED),
-  ...all("without effect", WITHOUT_EFFECT),
-  ...all("refused", REFUSED),
+  ...commandsOf("supported", SUPPORTED),
+  ...commandsOf("without effect", WITHOUT_EFFECT),
+  ...commandsOf("refused", REFUSED),
 ]);
 
-/** Other names that the language has for commands. */
+/** Aliases of commands in the language. */
 export const aliases: ReadonlyMap<string, string> = new Map([
   ["acctgroup", "accounting_group"],
   ["acctgroupuser", "accounting_group_user"],
@@ -292,7 +293,7 @@
   ["userlog", "log"],
 ]);
 
-/** The command that a name stands for, or null for a name that is no command. */
+/** The command with a name or alias, or null if there is none. */
 export const commandOf = (name: string): CommandInfo | null => {
   const key = name.toLowerCase();
   return commands.get(aliases.get(key) ?? key) ?? null;
@@ -302,5 +303,5 @@
 export const commandTable = (): string =>
   [...commands.values()]
     .sort((a, b) => (a.name < b.name ? -1 : 1))
-    .map(({ name, standing, note }) => `| \`${name}\` | ${standing} | ${note} |`)
+    .map(({ name, support, note }) => `| \`${name}\` | ${support} | ${note} |`)
     .join("\n");
--- a/src/submit/file/conditions.ts
+++ b/src/submit/file/conditions.ts
@@ -1,18 +1,18 @@
-import { constantOf } from "./functions.js";
+import { evaluateConstant } from "./functions.js";
 import { type Place, SubmitError } from "./text.js";
 
-/** The version of HTCondor whose file language is spoken: what `if version` compares with. */
-export const LANGUAGE = [23, 0, 0] as const;
+/** The HTCondor version whose file language is implemented; `if version` compares with it. */
+export const LANGUAGE_VERSION = [23, 0, 0] as const;
 
-function versionHolds(op: string, text: string, place: Place): boolean {
+function matchesVersion(op: string, text: string, place: Place): boolean {
   const parts = text.split(".").map(Number);
   if (parts.length > 3 || parts.some((part) => !Number.isInteger(part))) {
     throw new SubmitError(`'${text}' is no version`, place);
   }
   let order = 0;
-  // A part that is not there is not compared: 8.9 stands for all of 8.9.
+  // Missing parts are not compared: 8.9 stands for all versions 8.9.x.
   for (const [i, part] of parts.entries()) {
-    order = Math.sign(LANGUAGE[i]! - part);
+    order = Math.sign(LANGUAGE_VERSION[i]! - part);
     if (order !== 0) break;
   }
   switch (op) {
@@ -31,8 +31,11 @@
   }
 }
 
-/** @throws SubmitError for what is neither true nor false */
-export function holds(
+/**
+ * Evaluates the condition of an `if` or `elif`.
+ * @throws SubmitError if it is neither true nor false
+ */
+export function evaluateCondition(
   condition: string,
   defined: (name: string) => boolean,
   expand: (text: string) => string,
@@ -41,49 +44,53 @@
   const text = condition.trim();
   if (text === "") throw new SubmitError("a condition is missing", place);
   const not = /^!\s*([\s\S]*)$/.exec(text);
-  if (not !== null && !not[1]!.startsWith("=")) return !holds(not[1]!, defined, expand, place);
+  if (not !== null && !not[1]!.startsWith("="))
+    return !evaluateCondition(not[1]!, defined, expand, place);
   const name = /^defined\s+(\S+)$/i.exec(text);
   if (name !== null) {
-    const asked = expand(name[1]!);
-    return asked !== "" && defined(asked.toLowerCase());
+    const expandedName = expand(name[1]!);
+    return expandedName !== "" && defined(expandedName.toLowerCase());
   }
   const version = /^version\s*(==|!=|<=|>=|<|>)?\s*(\S+)$/i.exec(text);
-  if (version !== null) return versionHolds(version[1] ?? ">=", expand(version[2]!), place);
+  if (version !== null) return matchesVersion(version[1] ?? ">=", expand(version[2]!), place);
   const value = expand(text).trim();
   if (/^(yes|y|t)$/i.test(value)) return true;
   if (/^(no|n|f)$/i.test(value)) return false;
-  const result = value === "" ? false : constantOf(value);
+  const result = value === "" ? false : evaluateConstant(value);
   if (typeof result === "boolean") return result;
   if (typeof result === "bigint") return result !== 0n;
   if (typeof result === "number") return result !== 0;
   throw new SubmitError(`'${value}' is neither true nor false`, place);
 }
 
-interface Branch {
-  /** Whether this branch counts, whether one before it did, and whether what is round it does. */
+interface ConditionBlock {
+  /** Whether the current branch is active, one so far was, and the enclosing block is. */
   active: boolean;
-  taken: boolean;
-  outer: boolean;
-  /** Its else has come. */
-  last: boolean;
+  anyTaken: boolean;
+  outerActive: boolean;
+  /** Whether its `else` has been read. */
+  elseSeen: boolean;
   place: Place;
 }
 
-/** The conditions that are open at a line of a file. */
-export class Branches {
-  readonly #open: Branch[] = [];
+/** The stack of `if` blocks that are open at a line of a file. */
+export class ConditionStack {
+  readonly #open: ConditionBlock[] = [];
 
-  /** Whether what stands here counts. */
+  /** Whether the current line is in active branches only. */
   get active(): boolean {
     return this.#open.at(-1)?.active ?? true;
   }
 
-  /** `if`, `elif`, `else` or `endif`; `test` is asked only where it decides. @throws SubmitError */
+  /**
+   * Processes `if`, `elif`, `else` or `endif`. `test` is called only if its result matters.
+   * @throws SubmitError
+   */
   control(word: string, place: Place, test: () => boolean): void {
     if (word === "if") {
       const outer = this.active;
       const is = outer && test();
-      this.#open.push({ active: is, taken: is, outer, last: false, place });
+      this.#open.push({ active: is, anyTaken: is, outerActive: outer, elseSeen: false, place });
       return;
     }
     const top = this.#open.at(-1);
@@ -92,14 +99,14 @@
       this.#open.pop();
       return;
     }
-    if (top.last) throw new SubmitError(`${word} after else`, place);
-    if (word === "else") top.last = true;
-    const is = top.outer && !top.taken && (word === "else" || test());
+    if (top.elseSeen) throw new SubmitError(`${word} after else`, place);
+    if (word === "else") top.elseSeen = true;
+    const is = top.outerActive && !top.anyTaken && (word === "else" || test());
     top.active = is;
-    top.taken ||= is;
+    top.anyTaken ||= is;
   }
 
-  /** At the end of the file. */
+  /** Checks at the end of the file that every `if` has its `endif`. @throws SubmitError */
   end(): void {
     const left = this.#open.at(-1);
     if (left !== undefined) throw new SubmitError("this if has no endif", left.place);
--- a/src/submit/file/functions.ts
+++ b/src/submit/file/functions.ts
@@ -8,8 +8,8 @@
   type Value,
 } from "../../classad/index.js";
 
-/** What a macro function may ask for. */
-export interface Asks {
+/** What macro functions may read. */
+export interface MacroAccess {
   /** The value of a macro, or null when nothing sets it. */
   value(name: string): string | null;
   /** Text with its macros replaced. */
@@ -19,19 +19,19 @@
   fullPath(path: string): string;
 }
 
-export interface Wrong {
+export interface FunctionError {
   reason: string;
 }
 
 /**
- * The functions there are; `F` is followed by letters that say which parts of a name are wanted.
+ * Names of macro functions. The letters after `F` select parts of a path.
  */
-export const FUNCTION =
+export const FUNCTION_NAME =
   /^(ENV|INT|REAL|STRING|EVAL|CHOICE|RANDOM_CHOICE|RANDOM_INTEGER|SUBSTR|BASENAME|DIRNAME|F[fpduwnxbqa]*)$/;
 
-const wrong = (reason: string): Wrong => ({ reason });
+const failed = (reason: string): FunctionError => ({ reason });
 
-/** Arguments at the commas outside brackets and quotes, trimmed. */
+/** Splits arguments at commas outside brackets and quotes, and trims them. */
 export function splitArguments(text: string): string[] {
   const out: string[] = [];
   let depth = 0;
@@ -52,28 +52,31 @@
   return out;
 }
 
-/** The value of a constant expression, or why there is none. */
-export function constantOf(text: string): Value | Wrong {
+/** Evaluates a constant expression; returns its value or the error. */
+export function evaluateConstant(text: string): Value | FunctionError {
   try {
     const { value } = Expression.parse(text).evaluate();
-    if (value instanceof Failure) return wrong(`'${text}' is ERROR: ${value.reason}`);
-    return value === UNDEFINED ? wrong(`'${text}' is UNDEFINED`) : value;
+    if (value instanceof Failure) return failed(`'${text}' is ERROR: ${value.reason}`);
+    return value === UNDEFINED ? failed(`'${text}' is UNDEFINED`) : value;
   } catch (error) {
     if (!(error instanceof ClassAdError)) throw error;
-    return wrong(`'${text}': ${error.reason}`);
+    return failed(`'${text}': ${error.reason}`);
   }
 }
 
-const isWrong = (value: Value | Wrong): value is Wrong =>
+const isFunctionError = (value: Value | FunctionError): value is FunctionError =>
   typeof value === "object" && value !== null && "reason" in value && !(value instanceof Failure);
 
-/** `%05d`, `%x`, `%.2f`, `%10s`: one conversion, with text round it. */
-export function formatted(format: string, value: bigint | number | string): string | Wrong {
+/** Formats as printf: `%05d`, `%x`, `%.2f` or `%10s`, one conversion with text around it. */
+export function formatValue(
+  format: string,
+  value: bigint | number | string,
+): string | FunctionError {
   const match =
     /^((?:[^%]|%%)*)%([-+ 0#]*)(\d{0,3})(?:\.(\d{1,2}))?(?:l{0,2}|h{0,2})([diouxXeEfgGs])((?:[^%]|%%)*)$/.exec(
       format,
     );
-  if (match === null) return wrong(`no such format: ${format}`);
+  if (match === null) return failed(`no such format: ${format}`);
   const [, before = "", flags = "", width = "", precision, letter = "s", after = ""] = match;
   let body: string;
   if (letter === "s") body = String(value);
@@ -103,80 +106,81 @@
   return before.replace(/%%/g, "%") + body + after.replace(/%%/g, "%");
 }
 
-/** The text that an argument names: a macro's value, or the argument itself. */
-const itemOf = (arg: string, asks: Asks): string => asks.value(arg) ?? asks.expand(arg);
+/** The value of the macro that an argument names, or the expanded argument itself. */
+const argumentText = (arg: string, asks: MacroAccess): string =>
+  asks.value(arg) ?? asks.expand(arg);
 
-function converted(word: string, args: string[], asks: Asks): string | Wrong {
+function convertValue(word: string, args: string[], asks: MacroAccess): string | FunctionError {
   const [item, format] = args;
   if (item === undefined || item === "" || args.length > 2) {
-    return wrong(`$${word} needs a name or an expression, and may have a format`);
+    return failed(`$${word} needs a name or an expression, and may have a format`);
   }
-  const text = itemOf(item, asks);
+  const text = argumentText(item, asks);
   if (word === "STRING") {
-    const value = constantOf(text);
-    const shown = isWrong(value) ? text : typeof value === "string" ? value : text;
-    return format === undefined ? shown : formatted(format, shown);
+    const value = evaluateConstant(text);
+    const shown = isFunctionError(value) ? text : typeof value === "string" ? value : text;
+    return format === undefined ? shown : formatValue(format, shown);
   }
-  const value = constantOf(text);
-  if (isWrong(value)) return value;
+  const value = evaluateConstant(text);
+  if (isFunctionError(value)) return value;
   if (word === "EVAL") return typeof value === "string" ? value : printValue(value);
   const number = typeof value === "boolean" ? (value ? 1n : 0n) : value;
-  if (!isNumber(number)) return wrong(`'${text}' is no number`);
+  if (!isNumber(number)) return failed(`'${text}' is no number`);
   if (word === "REAL") {
-    return formatted(format ?? "%.16G", Number(number));
+    return formatValue(format ?? "%.16G", Number(number));
   }
   if (typeof number === "number" && !Number.isFinite(number))
-    return wrong(`'${text}' is no integer`);
-  return formatted(format ?? "%d", typeof number === "bigint" ? number : Math.trunc(number));
+    return failed(`'${text}' is no integer`);
+  return formatValue(format ?? "%d", typeof number === "bigint" ? number : Math.trunc(number));
 }
 
-function whole(text: string, asks: Asks): number | Wrong {
-  const value = constantOf(itemOf(text, asks));
-  if (isWrong(value)) return value;
-  return typeof value === "bigint" ? Number(value) : wrong(`'${text}' is no integer`);
+function evaluateInteger(text: string, asks: MacroAccess): number | FunctionError {
+  const value = evaluateConstant(argumentText(text, asks));
+  if (isFunctionError(value)) return value;
+  return typeof value === "bigint" ? Number(value) : failed(`'${text}' is no integer`);
 }
 
-const pieces = (text: string): string[] => text.split(/[,\s]+/).filter((piece) => piece !== "");
+const splitWords = (text: string): string[] => text.split(/[,\s]+/).filter((piece) => piece !== "");
 
-function choice(args: string[], asks: Asks): string | Wrong {
+function chooseItem(args: string[], asks: MacroAccess): string | FunctionError {
   const [index, ...rest] = args;
-  if (index === undefined || rest.length === 0) return wrong("$CHOICE needs a number and a list");
-  const at = whole(index, asks);
+  if (index === undefined || rest.length === 0) return failed("$CHOICE needs a number and a list");
+  const at = evaluateInteger(index, asks);
   if (typeof at !== "number") return at;
   const named = rest.length === 1 ? asks.value(rest[0]!) : null;
-  const list = named === null ? rest.map((item) => asks.expand(item)) : pieces(named);
-  return list[at] ?? wrong(`$CHOICE(${at}) of a list with ${list.length} items`);
+  const list = named === null ? rest.map((item) => asks.expand(item)) : splitWords(named);
+  return list[at] ?? failed(`$CHOICE(${at}) of a list with ${list.length} items`);
 }
 
-function randomInteger(args: string[], asks: Asks): string | Wrong {
+function randomInteger(args: string[], asks: MacroAccess): string | FunctionError {
   const numbers: number[] = [];
   for (const arg of args) {
-    const number = whole(arg, asks);
+    const number = evaluateInteger(arg, asks);
     if (typeof number !== "number") return number;
     numbers.push(number);
   }
   const [low, high, step = 1] = numbers;
   if (low === undefined || high === undefined || step < 1 || high < low) {
-    return wrong("$RANDOM_INTEGER needs the least, the most, and may have a step of at least 1");
+    return failed("$RANDOM_INTEGER needs the least, the most, and may have a step of at least 1");
   }
   const count = Math.floor((high - low) / step) + 1;
   return String(low + step * Math.floor(asks.random() * count));
 }
 
-function substring(args: string[], asks: Asks): string | Wrong {
+function substring(args: string[], asks: MacroAccess): string | FunctionError {
   const [name, from, length] = args;
-  if (name === undefined || from === undefined) return wrong("$SUBSTR needs a name and a number");
-  const text = itemOf(name, asks);
-  const start = whole(from, asks);
+  if (name === undefined || from === undefined) return failed("$SUBSTR needs a name and a number");
+  const text = argumentText(name, asks);
+  const start = evaluateInteger(from, asks);
   if (typeof start !== "number") return start;
   const begin = start < 0 ? Math.max(0, text.length + start) : start;
   if (length === undefined) return text.slice(begin);
-  const count = whole(length, asks);
+  const count = evaluateInteger(length, asks);
   if (typeof count !== "number") return count;
   return text.slice(begin, count < 0 ? text.length + count : begin + count);
 }
 
-/** Parts of a path, as the letters after `$F` say. */
+/** The parts of a path that the letters after `$F` select. */
 export function pathParts(letters: string, path: string, full: (path: string) => string): string {
   let text = path.trim().replace(/^"(.*)"$/, "$1");
   if (letters.includes("f")) text = full(text);
@@ -203,8 +207,12 @@
   return out;
 }
 
-/** The text that a function gives, or what is wrong with the call. */
-export function callFunction(word: string, args: string[], asks: Asks): string | Wrong {
+/** Calls a macro function; returns its text or the error. */
+export function callFunction(
+  word: string,
+  args: string[],
+  asks: MacroAccess,
+): string | FunctionError {
   const [first = "", second] = args;
   switch (word) {
     case "ENV": {
@@ -214,32 +222,32 @@
       const value = asks.environment(name.trim());
       if (value !== null) return value;
       return colon < 0
-        ? wrong(`$ENV(${name}): there is no such variable`)
+        ? failed(`$ENV(${name}): there is no such variable`)
         : asks.expand(all.slice(colon + 1));
     }
     case "INT":
     case "REAL":
     case "STRING":
     case "EVAL":
-      return converted(word, args, asks);
+      return convertValue(word, args, asks);
     case "CHOICE":
-      return choice(args, asks);
+      return chooseItem(args, asks);
     case "RANDOM_CHOICE": {
       const named = args.length === 1 ? asks.value(first) : null;
-      const list = named === null ? args.map((item) => asks.expand(item)) : pieces(named);
-      return list[Math.floor(asks.random() * list.length)] ?? wrong("$RANDOM_CHOICE of nothing");
+      const list = named === null ? args.map((item) => asks.expand(item)) : splitWords(named);
+      return list[Math.floor(asks.random() * list.length)] ?? failed("$RANDOM_CHOICE of nothing");
     }
     case "RANDOM_INTEGER":
       return randomInteger(args, asks);
     case "SUBSTR":
       return substring(args, asks);
     case "BASENAME": {
-      const name = pathParts("nx", itemOf(first, asks), asks.fullPath);
+      const name = pathParts("nx", argumentText(first, asks), asks.fullPath);
       return second !== undefined && name.endsWith(second) ? name.slice(0, -second.length) : name;
     }
     case "DIRNAME":
-      return pathParts("pb", itemOf(first, asks), asks.fullPath);
+      return pathParts("pb", argumentText(first, asks), asks.fullPath);
     default:
-      return pathParts(word.slice(1), itemOf(first, asks), asks.fullPath);
+      return pathParts(word.slice(1), argumentText(first, asks), asks.fullPath);
   }
 }
--- a/src/submit/file/world.ts
+++ b/src/submit/file/host-environment.ts
@@ -1,14 +1,16 @@
 import { readdirSync, readFileSync, statSync } from "node:fs";
 import { isAbsolute, join } from "node:path";
 
-/** What reading a submit file may use of the machine it is handed in on. Tests have their own. */
-export interface FileWorld {
+/**
+ * Access to files, variables, clock and randomness of the submitting machine; replaced in tests.
+ */
+export interface HostEnvironment {
   /** @throws Error when there is no such file */
   read(path: string): Uint8Array;
-  /** Paths that match a pattern with `*`, `?`, `[...]` in any of its steps, in order of name. */
+  /** Paths, sorted, that match a pattern with `*`, `?`, `[...]` in any of its segments. */
   match(pattern: string, kind: "files" | "dirs" | "any"): string[];
   env(name: string): string | undefined;
-  /** A path of a file, whole. */
+  /** The absolute path of a file. */
   resolve(path: string): string;
   /** From 0 to below 1. */
   random(): number;
@@ -16,18 +18,18 @@
   now(): number;
 }
 
-const SPECIAL = /[*?[]/;
+const WILDCARD = /[*?[]/;
 
-/** One step of a pattern as a regular expression; `*` does not match a hidden file. */
-function stepPattern(step: string): RegExp {
-  let source = step.startsWith(".") ? "" : "(?!\\.)";
-  for (let i = 0; i < step.length; i++) {
-    const c = step[i]!;
-    const end = c === "[" ? step.indexOf("]", i + 2) : -1;
+/** One path segment of a pattern as a regular expression; `*` does not match hidden files. */
+function segmentPattern(segment: string): RegExp {
+  let source = segment.startsWith(".") ? "" : "(?!\\.)";
+  for (let i = 0; i < segment.length; i++) {
+    const c = segment[i]!;
+    const end = c === "[" ? segment.indexOf("]", i + 2) : -1;
     if (c === "*") source += "[^/]*";
     else if (c === "?") source += "[^/]";
     else if (end > 0) {
-      const inside = step
+      const inside = segment
         .slice(i + 1, end)
         .replace(/^!/, "^")
         .replace(/[\\\]]/g, "\\$&");
@@ -38,27 +40,27 @@
   return new RegExp(`^${source}$`, "u");
 }
 
-/** Finds paths step by step, so that only folders that can match are read. */
+/** Finds matching paths segment by segment, so that only directories that can match are read. */
 export function matchPaths(
   pattern: string,
   kind: "files" | "dirs" | "any",
   list: (folder: string) => { name: string; folder: boolean }[],
 ): string[] {
-  const steps = pattern.split("/").filter((step, i) => step !== "" || i === 0);
+  const segments = pattern.split("/").filter((segment, i) => segment !== "" || i === 0);
   let found: { path: string; folder: boolean }[] = [{ path: "", folder: true }];
-  for (const [i, step] of steps.entries()) {
+  for (const [i, segment] of segments.entries()) {
     const next: typeof found = [];
     for (const { path, folder } of found) {
       if (!folder) continue;
       const under = (name: string): string => (i === 0 ? name : `${path}/${name}`);
-      if (step === "" || step === "." || step === "..") {
-        next.push({ path: under(step), folder: true });
+      if (segment === "" || segment === "." || segment === "..") {
+        next.push({ path: under(segment), folder: true });
         continue;
       }
       const here = list(i === 0 ? "." : path === "" ? "/" : path);
-      const test = SPECIAL.test(step) ? stepPattern(step) : null;
+      const test = WILDCARD.test(segment) ? segmentPattern(segment) : null;
       for (const { name, folder: isFolder } of here) {
-        const hit = test === null ? name === step : test.test(name);
+        const hit = test === null ? name === segment : test.test(name);
         if (hit) next.push({ path: under(name), folder: isFolder });
       }
     }
@@ -70,8 +72,8 @@
     .sort();
 }
 
-/** The real machine. Names are relative to the folder that the program runs in, as in HTCondor. */
-export function realWorld(base = process.cwd()): FileWorld {
+/** The local machine. Paths are relative to the working directory, as in HTCondor. */
+export function localHost(base = process.cwd()): HostEnvironment {
   const full = (path: string): string => (isAbsolute(path) ? path : join(base, path));
   return {
     read: (path) => readFileSync(full(path)),
--- a/src/submit/file/macros.ts
+++ b/src/submit/file/macros.ts
@@ -1,36 +1,38 @@
-import { callFunction, FUNCTION, splitArguments } from "./functions.js";
-import { nearest, type Place, SubmitError } from "./text.js";
-import type { FileWorld } from "./world.js";
+import { callFunction, FUNCTION_NAME, splitArguments } from "./functions.js";
+import type { HostEnvironment } from "./host-environment.js";
+import { closestWord, type Place, SubmitError } from "./text.js";
 
-/** A value with the place of each of its characters. */
-export interface Written {
+/** A text with the position of each of its characters in a file. */
+export interface LocatedText {
   text: string;
   at(offset: number): Place;
 }
 
-/** Macros refer to macros at most this deep; text may become this long. */
-const DEEPEST = 32;
-const LONGEST = 65_536;
+/** Bounds on nested macros and on the length of an expanded value. */
+const MAX_MACRO_DEPTH = 32;
+const MAX_VALUE_LENGTH = 65_536;
 
-/** Stands for the number of a proc in text that is the same for all of them but for that. */
-export const PROC = "$(ProcId)";
+/** Placeholder for a proc's number in texts that differ between procs only in that number. */
+export const PROC_ID_MACRO = "$(ProcId)";
 
-/** A value depends on the number of the proc in another way than by containing it. */
-export class NotAlike extends Error {}
+/** Thrown if a value depends on the proc's number in another way than by containing it. */
+export class NeedsProcId extends Error {}
 
 export interface Scope {
-  /** Names in lower case. What a queue statement sets hides what the file sets. */
-  get(name: string): Written | string | null;
+  /**
+   * The value of a name in lower case. Variables of a queue statement hide settings of the file.
+   */
+  get(name: string): LocatedText | string | null;
   names(): Iterable<string>;
-  world: FileWorld;
+  host: HostEnvironment;
   /** Variables of the environment that `$ENV` may read. */
   environment: ReadonlySet<string>;
-  /** Whether `$(ProcId)` stays as it is. */
-  alike: boolean;
+  /** Whether `$(ProcId)` is left unexpanded. */
+  keepProcId: boolean;
 }
 
-/** The bracket that closes the one before `from`, or -1. */
-function closing(text: string, from: number): number {
+/** Index of the bracket that closes the one before `from`, or -1. */
+function closingBracket(text: string, from: number): number {
   let open = 1;
   for (let i = from; i < text.length; i++) {
     if (text[i] === "(") open++;
@@ -40,21 +42,21 @@
 }
 
 /**
- * Replaces `$(name)`, `$(name:default)` and `$FUNCTION(...)`.
- * @throws SubmitError for a name that nothing sets, and where a bound is reached
+ * Expands `$(name)`, `$(name:default)` and `$FUNCTION(...)`.
+ * @throws SubmitError for a name that nothing sets, and if a bound is exceeded
  */
-export function expand(written: Written, scope: Scope): string {
-  return new Expansion(scope).run(written.text, written.at, 0);
+export function expand(written: LocatedText, scope: Scope): string {
+  return new MacroExpansion(scope).run(written.text, written.at, 0);
 }
 
-class Expansion {
-  #made = 0;
+class MacroExpansion {
+  #expandedLength = 0;
 
   constructor(readonly scope: Scope) {}
 
   run(text: string, at: (offset: number) => Place, depth: number): string {
-    if (depth > DEEPEST) {
-      throw new SubmitError(`macros refer to macros more than ${DEEPEST} deep`, at(0));
+    if (depth > MAX_MACRO_DEPTH) {
+      throw new SubmitError(`macros refer to macros more than ${MAX_MACRO_DEPTH} deep`, at(0));
     }
     let out = "";
     let from = 0;
@@ -77,7 +79,7 @@
         continue;
       }
       const open = dollar + call[0].length;
-      const end = closing(text, open);
+      const end = closingBracket(text, open);
       if (end < 0) throw new SubmitError("this bracket is not closed", at(open - 1));
       const inner = text.slice(open, end);
       const word = call[1]!;
@@ -86,9 +88,9 @@
         word === ""
           ? this.#macro(inner, inside, place, depth)
           : this.#call(word, inner, inside, place, depth);
-      this.#made += out.length;
-      if (out.length > LONGEST || this.#made > 64 * LONGEST) {
-        throw new SubmitError(`a value longer than ${LONGEST} characters`, place);
+      this.#expandedLength += out.length;
+      if (out.length > MAX_VALUE_LENGTH || this.#expandedLength > 64 * MAX_VALUE_LENGTH) {
+        throw new SubmitError(`a value longer than ${MAX_VALUE_LENGTH} characters`, place);
       }
       from = end + 1;
     }
@@ -103,7 +105,7 @@
     if (colon >= 0) {
       return this.run(inner.slice(colon + 1), (offset) => at(colon + 1 + offset), depth + 1);
     }
-    const meant = nearest(name.toLowerCase(), this.scope.names());
+    const meant = closestWord(name.toLowerCase(), this.scope.names());
     throw new SubmitError(
       `nothing sets $(${name})`,
       place,
@@ -114,10 +116,10 @@
   #value(name: string, place: Place, depth: number): string | null {
     const key = name.toLowerCase();
     if (key === "dollar") return "$";
-    if (this.scope.alike && (key === "procid" || key === "process")) return PROC;
+    if (this.scope.keepProcId && (key === "procid" || key === "process")) return PROC_ID_MACRO;
     const found = this.scope.get(key);
     if (found === null || typeof found === "string") return found;
-    // What goes wrong inside is told at the outermost use.
+    // Errors inside the value are reported at the position of the outermost use.
     return this.run(found.text, () => place, depth + 1);
   }
 
@@ -128,7 +130,7 @@
     place: Place,
     depth: number,
   ): string {
-    if (!FUNCTION.test(word)) {
+    if (!FUNCTION_NAME.test(word)) {
       throw new SubmitError(
         `no macro function $${word}`,
         place,
@@ -139,12 +141,13 @@
     const result = callFunction(word, args, {
       value: (name) => {
         const value = this.#value(name, place, depth);
-        if (value?.includes(PROC) === true && this.scope.alike) throw new NotAlike();
+        if (value?.includes(PROC_ID_MACRO) === true && this.scope.keepProcId)
+          throw new NeedsProcId();
         return value;
       },
       expand: (text) => {
         const value = this.run(text, at, depth + 1);
-        if (this.scope.alike && value.includes(PROC)) throw new NotAlike();
+        if (this.scope.keepProcId && value.includes(PROC_ID_MACRO)) throw new NeedsProcId();
         return value;
       },
       environment: (name) => {
@@ -155,10 +158,10 @@
             `name it: submit --env ${name}`,
           );
         }
-        return this.scope.world.env(name) ?? null;
+        return this.scope.host.env(name) ?? null;
       },
-      random: () => this.scope.world.random(),
-      fullPath: (path) => this.scope.world.resolve(path),
+      random: () => this.scope.host.random(),
+      fullPath: (path) => this.scope.host.resolve(path),
     });
     if (typeof result === "string") return result;
     throw new SubmitError(result.reason, place);
@@ -166,13 +169,13 @@
 }
 
 /** Names that a text refers to, in lower case. */
-export function referred(text: string): string[] {
+export function referencedNames(text: string): string[] {
   const names: string[] = [];
   for (const [, word = "", inner = ""] of text.matchAll(/\$([A-Za-z_]*)\(\s*([^)]*)/g)) {
     const parts = word === "" ? [inner.split(":")[0]!] : inner.split(/[,:]/);
     for (const part of parts) names.push(part.trim().toLowerCase());
   }
-  // `if defined name` uses it as well.
+  // `if defined name` refers to the name too.
   for (const [, name] of text.matchAll(/\bdefined\s+([A-Za-z_]\w*)/gi))
     names.push(name!.toLowerCase());
   return names;
--- a/src/submit/file/blocks.ts
+++ b/src/submit/file/multiline.ts
@@ -1,7 +1,7 @@
 import { type Line, SubmitError } from "./text.js";
 
-/** The lines after a list's opening bracket, up to the closing one. */
-export function listOf(lines: readonly Line[], from: number): { rows: string[]; last: number } {
+/** Reads the lines after a list's opening bracket, up to the closing one. */
+export function readList(lines: readonly Line[], from: number): { rows: string[]; last: number } {
   const rows: string[] = [];
   for (let i = from + 1; i < lines.length; i++) {
     const { text } = lines[i]!;
@@ -16,8 +16,8 @@
   throw new SubmitError("this list is not closed", line.at(line.text.lastIndexOf("(")));
 }
 
-/** `name @=end`, with lines up to `@end`. */
-export function blockOf(lines: readonly Line[], from: number): { rows: Line[]; last: number } {
+/** Reads the lines of a block `name @=end`, up to `@end`. */
+export function readBlock(lines: readonly Line[], from: number): { rows: Line[]; last: number } {
   const { text, at } = lines[from]!;
   const equals = text.indexOf("=");
   const tag = text.slice(equals + 1).trim();
--- a/src/submit/file/queue.ts
+++ b/src/submit/file/queue.ts
@@ -1,33 +1,33 @@
-import { constantOf } from "./functions.js";
+import { evaluateConstant } from "./functions.js";
+import type { HostEnvironment } from "./host-environment.js";
 import { type Place, SubmitError } from "./text.js";
-import type { FileWorld } from "./world.js";
 
-/** A queue statement, with the procs that it makes. */
-export interface Queue {
+/** A parsed queue statement. */
+export interface QueueStatement {
   place: Place;
-  /** Procs an item. */
+  /** Procs per item. */
   count: number;
   vars: string[];
-  /** Null when it has no items: then there is one round without variables. */
+  /** Null if the statement has no items: then `count` procs are created once, without variables. */
   items: string[] | null;
 }
 
 const STATEMENT =
   /^(?<left>.*?)\s*\b(?<word>in|from|matching)\b\s*(?<kind>files\b|dirs\b|any\b)?\s*(?<slice>\[[^\]]*\])?\s*(?<rest>[\s\S]*)$/i;
 
-/** What a `queue` needs besides its line. */
+/** A queue statement to parse, with what parsing it needs. */
 export interface QueueInput {
   text: string;
   place: Place;
-  /** The lines up to the one that closes the list, for a list over several lines. */
+  /** The rows of a list over several lines; null if the list is in the line itself. */
   list: string[] | null;
-  world: FileWorld;
-  /** The most items a statement may have. */
-  most: number;
+  host: HostEnvironment;
+  /** Most items of a statement. */
+  maxItems: number;
 }
 
-/** Python's slices: `[from:to:step]`, and `[n]` for one item. */
-function sliced(items: string[], text: string | undefined, place: Place): string[] {
+/** Applies a slice as in Python: `[from:to:step]`, or `[n]` for one item. */
+function applySlice(items: string[], text: string | undefined, place: Place): string[] {
   if (text === undefined) return items;
   const inner = text.slice(1, -1).trim();
   const parts = inner.split(":").map((part) => part.trim());
@@ -56,79 +56,79 @@
   return out;
 }
 
-function countOf(text: string, place: Place): number {
-  const value = constantOf(text);
+function parseCount(text: string, place: Place): number {
+  const value = evaluateConstant(text);
   if (typeof value !== "bigint" || value < 0n) {
     throw new SubmitError(`queue '${text}': not a number of procs`, place);
   }
   return Number(value);
 }
 
-const words = (text: string): string[] => text.split(/[,\s]+/).filter((word) => word !== "");
+const splitWords = (text: string): string[] => text.split(/[,\s]+/).filter((word) => word !== "");
 
-const rows = (text: string): string[] =>
+const splitRows = (text: string): string[] =>
   text
     .split(/\r\n|\n|\r/)
     .map((row) => row.trim())
     .filter((row) => row !== "" && !row.startsWith("#"));
 
-/** Whether the list of a `queue` goes on over the next lines. */
-export const opensList = (text: string): boolean =>
+/** Whether the list of a queue statement continues on the next lines. */
+export const startsList = (text: string): boolean =>
   /\b(in|from)\b\s*(\[[^\]]*\])?\s*\([^)]*$/i.test(text);
 
 /** @throws SubmitError */
-export function parseQueue(input: QueueInput): Queue {
-  const { text, place, world } = input;
+export function parseQueue(input: QueueInput): QueueStatement {
+  const { text, place, host: world } = input;
   const match = STATEMENT.exec(text);
   if (match === null) {
-    const count = text.trim() === "" ? 1 : countOf(text.trim(), place);
+    const count = text.trim() === "" ? 1 : parseCount(text.trim(), place);
     return { place, count, vars: [], items: null };
   }
   const { left = "", word = "", kind, slice, rest = "" } = match.groups!;
   const [, number, names] = /^\s*(\d+|\([^)]*\))?\s*([\s\S]*)$/.exec(left)!;
-  const count = number === undefined ? 1 : countOf(number, place);
-  const vars = words(names!);
+  const count = number === undefined ? 1 : parseCount(number, place);
+  const vars = splitWords(names!);
   for (const name of vars) {
     if (!/^[A-Za-z_]\w*$/.test(name)) {
       throw new SubmitError(`'${name}' is no name of a variable`, place);
     }
   }
-  const how = word.toLowerCase();
-  if (kind !== undefined && how !== "matching") {
+  const keyword = word.toLowerCase();
+  if (kind !== undefined && keyword !== "matching") {
     throw new SubmitError(`'${kind}' belongs to matching`, place);
   }
-  if (how !== "from" && vars.length > 1) {
-    throw new SubmitError(`queue ... ${how} has one variable`, place, "use from for several");
+  if (keyword !== "from" && vars.length > 1) {
+    throw new SubmitError(`queue ... ${keyword} has one variable`, place, "use from for several");
   }
   let items: string[];
-  if (how === "matching") {
+  if (keyword === "matching") {
     const wanted = (kind?.toLowerCase() ?? "files") as "files" | "dirs" | "any";
-    const patterns = words(rest.replace(/^\(([\s\S]*)\)\s*$/, "$1"));
+    const patterns = splitWords(rest.replace(/^\(([\s\S]*)\)\s*$/, "$1"));
     if (patterns.length === 0) throw new SubmitError("matching needs a pattern", place);
     items = [...new Set(patterns.flatMap((pattern) => world.match(pattern, wanted)))];
-  } else items = how === "in" ? itemsIn(rest, input) : itemsFrom(rest, input);
-  items = sliced(items, slice, place);
-  if (items.length > input.most) {
-    throw new SubmitError(`${items.length} items; at most ${input.most}`, place);
+  } else items = keyword === "in" ? itemsOfIn(rest, input) : itemsOfFrom(rest, input);
+  items = applySlice(items, slice, place);
+  if (items.length > input.maxItems) {
+    throw new SubmitError(`${items.length} items; at most ${input.maxItems}`, place);
   }
   return { place, count, vars: vars.length === 0 ? ["Item"] : vars, items };
 }
 
-function itemsIn(rest: string, { list, place }: QueueInput): string[] {
+function itemsOfIn(rest: string, { list, place }: QueueInput): string[] {
   const inner = /^\(([\s\S]*)\)\s*$/.exec(rest.trim())?.[1];
-  if (list !== null) return words([rest.trim().replace(/^\(/, ""), ...list].join("\n"));
-  const items = words(inner ?? rest);
+  if (list !== null) return splitWords([rest.trim().replace(/^\(/, ""), ...list].join("\n"));
+  const items = splitWords(inner ?? rest);
   if (inner === undefined && items.length === 0) {
     throw new SubmitError("queue ... in needs a list", place, "write queue x in (a, b)");
   }
   return items;
 }
 
-function itemsFrom(rest: string, { list, place, world }: QueueInput): string[] {
+function itemsOfFrom(rest: string, { list, place, host: world }: QueueInput): string[] {
   const source = rest.trim();
-  if (list !== null) return rows([source.replace(/^\(/, ""), ...list].join("\n"));
+  if (list !== null) return splitRows([source.replace(/^\(/, ""), ...list].join("\n"));
   const inner = /^\(([\s\S]*)\)$/.exec(source)?.[1];
-  if (inner !== undefined) return rows(inner);
+  if (inner !== undefined) return splitRows(inner);
   if (source === "") throw new SubmitError("queue ... from needs a file or a list", place);
   if (source.endsWith("|")) {
     throw new SubmitError(
@@ -144,11 +144,11 @@
     const why = error instanceof TypeError ? "not UTF-8" : "cannot be read";
     throw new SubmitError(`queue from ${source}: ${why}`, place);
   }
-  return rows(text);
+  return splitRows(text);
 }
 
-/** An item split over the variables; the last one gets the rest. */
-export function fillVars(vars: readonly string[], item: string): [string, string][] {
+/** Splits an item into values of the variables; the last variable gets the rest. */
+export function splitItem(vars: readonly string[], item: string): [string, string][] {
   if (vars.length === 1) return [[vars[0]!, item]];
   const out: [string, string][] = [];
   let rest = item;
--- a/src/submit/file/read.ts
+++ b/src/submit/file/read.ts
@@ -1,58 +1,58 @@
-import { blockOf, listOf } from "./blocks.js";
 import { aliases, commandOf, commands } from "./commands.js";
-import { Branches, holds } from "./conditions.js";
-import { expand, NotAlike, referred, type Scope, type Written } from "./macros.js";
-import { fillVars, opensList, parseQueue, type Queue } from "./queue.js";
-import { decodeText, type Line, linesOf, nearest, type Place, SubmitError } from "./text.js";
-import type { FileWorld } from "./world.js";
+import { ConditionStack, evaluateCondition } from "./conditions.js";
+import type { HostEnvironment } from "./host-environment.js";
+import { expand, type LocatedText, NeedsProcId, referencedNames, type Scope } from "./macros.js";
+import { readBlock, readList } from "./multiline.js";
+import { parseQueue, type QueueStatement, splitItem, startsList } from "./queue.js";
+import { closestWord, decodeText, type Line, type Place, SubmitError, splitLines } from "./text.js";
 
 export interface ReadOptions {
   file: string;
-  world: FileWorld;
+  world: HostEnvironment;
   /** The number of the cluster, for `$(ClusterId)`. */
   cluster: number;
   /** Variables of the environment that `$ENV` may read. */
   environment?: readonly string[];
-  /** The most procs that a file may make, and bytes of all files that are read. */
+  /** Most procs of a file, and most bytes of all files that are read. */
   maxProcs?: number;
   maxBytes?: number;
-  /** Told of each `warning :`. */
+  /** Called for each `warning :` statement. */
   warn?(text: string, place: Place): void;
 }
 
-/** One proc of the cluster: the values of commands as they are for it. */
+/** One proc of the cluster, with the values that its commands have. */
 export interface Proc {
   id: number;
-  /** The queue statement that makes it. */
+  /** Position of the queue statement that creates it. */
   queue: Place;
-  /** The value of a command, by its name in lower case; null where the file does not set it. */
+  /** The value of a command by its name in lower case; null if the file does not set it. */
   value(name: string): Value | null;
-  /** The same, but text that holds the proc's number has `$(ProcId)` there, if that is possible. */
-  alike(name: string): Value | null;
+  /** The same, but with `$(ProcId)` left in place of the proc's number where that is possible. */
+  valueKeepingProcId(name: string): Value | null;
   /** Attributes that the file adds by `+Name` and `MY.Name`. */
   attributes(): (Value & { name: string })[];
 }
 
-/** Text with the place of the command, and of the value's beginning. */
+/** The text of a value and the position where it begins. */
 export interface Value {
   text: string;
   place: Place;
-  /** Where a character of the text stands; the beginning, where macros made the text. */
+  /** Position of a character of the text; of the beginning, if macros were expanded in it. */
   at(offset: number): Place;
 }
 
-const MOST_PROCS = 100_000;
-const MOST_BYTES = 8 * 1024 * 1024;
-const DEEPEST_INCLUDE = 10;
+const MAX_PROCS = 100_000;
+const MAX_TOTAL_BYTES = 8 * 1024 * 1024;
+const MAX_INCLUDE_DEPTH = 10;
 
-interface Setting extends Written {
+interface Setting extends LocatedText {
   name: string;
   place: Place;
 }
 
-const ASSIGN = /^\s*(\+\s*)?([A-Za-z_][\w.]*)\s*(@?)=/;
-/** Names that the language itself sets. */
-const GIVEN = [
+const ASSIGNMENT = /^\s*(\+\s*)?([A-Za-z_][\w.]*)\s*(@?)=/;
+/** Names that the language predefines. */
+const PREDEFINED_NAMES = [
   "clusterid",
   "cluster",
   "procid",
@@ -65,50 +65,50 @@
 ];
 
 /**
- * Reads a submit file with all that it includes. The procs come one after another, so that a large
- * cluster does not have to be held whole.
- * @throws SubmitError with file, line, column, reason and hint, at whatever proc it is found
+ * Reads a submit file and the files it includes. Yields the procs one by one, so that a large
+ * cluster need not be held in memory.
+ * @throws SubmitError with file, line, column, reason and hint, at any proc
  */
 export function* readSubmit(options: ReadOptions): Generator<Proc> {
-  yield* new Reader(options).run();
+  yield* new SubmitFileReader(options).run();
 }
 
-class Reader {
+class SubmitFileReader {
   readonly #settings = new Map<string, Setting>();
-  readonly #used = new Set<string>();
-  /** Commands since the last queue, which have no effect unless another one follows. */
-  #since: Setting[] = [];
-  #queues = 0;
-  #procs = 0;
-  #bytes = 0;
-  readonly #world: FileWorld;
+  readonly #usedNames = new Set<string>();
+  /** Commands since the last queue statement; without effect unless another one follows. */
+  #unqueued: Setting[] = [];
+  #queueCount = 0;
+  #procCount = 0;
+  #bytesRead = 0;
+  readonly #host: HostEnvironment;
   readonly #environment: ReadonlySet<string>;
   readonly #startedAt: number;
 
   constructor(readonly options: ReadOptions) {
-    this.#world = options.world;
+    this.#host = options.world;
     this.#environment = new Set(options.environment ?? []);
     this.#startedAt = options.world.now();
   }
 
   *run(): Generator<Proc> {
     const { file } = this.options;
-    yield* this.#file(file, null, 0);
+    yield* this.#readFile(file, null, 0);
     const end: Place = { file, line: 1, column: 1 };
-    if (this.#queues === 0) throw new SubmitError("no queue statement", end, "end with queue");
-    const [late] = this.#since;
+    if (this.#queueCount === 0) throw new SubmitError("no queue statement", end, "end with queue");
+    const [late] = this.#unqueued;
     if (late !== undefined) {
       throw new SubmitError(`${late.name} stands after the last queue`, late.place, "move it up");
     }
     this.#checkNames();
-    if (this.#procs === 0) throw new SubmitError("no proc at all: every queue is empty", end);
+    if (this.#procCount === 0) throw new SubmitError("no proc at all: every queue is empty", end);
   }
 
-  /** What is set and neither a command nor used by name is a command written wrongly. */
+  /** Refuses a name that is set but neither a command nor used: a misspelt command. */
   #checkNames(): void {
     for (const [key, { name, place }] of this.#settings) {
-      if (commandOf(key) !== null || this.#used.has(key) || key.startsWith("my.")) continue;
-      const meant = nearest(key, [...commands.keys(), ...aliases.keys()]);
+      if (commandOf(key) !== null || this.#usedNames.has(key) || key.startsWith("my.")) continue;
+      const meant = closestWord(key, [...commands.keys(), ...aliases.keys()]);
       throw new SubmitError(
         `unknown command '${name}', and no $(${name}) uses it`,
         place,
@@ -117,26 +117,27 @@
     }
   }
 
-  *#file(path: string, from: Place | null, depth: number): Generator<Proc> {
+  *#readFile(path: string, from: Place | null, depth: number): Generator<Proc> {
     let bytes: Uint8Array;
     try {
-      bytes = this.#world.read(path);
+      bytes = this.#host.read(path);
     } catch (error) {
       const why = (error as NodeJS.ErrnoException).code ?? "cannot be read";
       throw new SubmitError(`${path}: ${why}`, from ?? { file: path, line: 1, column: 1 });
     }
-    this.#bytes += bytes.length;
-    const most = this.options.maxBytes ?? MOST_BYTES;
-    if (this.#bytes > most) {
-      throw new SubmitError(`more than ${most} bytes`, from ?? { file: path, line: 1, column: 1 });
+    this.#bytesRead += bytes.length;
+    const limit = this.options.maxBytes ?? MAX_TOTAL_BYTES;
+    if (this.#bytesRead > limit) {
+      throw new SubmitError(`more than ${limit} bytes`, from ?? { file: path, line: 1, column: 1 });
     }
-    const lines = linesOf(decodeText(bytes, path), path);
-    for (const { text } of lines) for (const name of referred(text)) this.#used.add(name);
-    yield* this.#lines(lines, depth);
+    const lines = splitLines(decodeText(bytes, path), path);
+    for (const { text } of lines)
+      for (const name of referencedNames(text)) this.#usedNames.add(name);
+    yield* this.#readLines(lines, depth);
   }
 
-  *#lines(lines: readonly Line[], depth: number): Generator<Proc> {
-    const branches = new Branches();
+  *#readLines(lines: readonly Line[], depth: number): Generator<Proc> {
+    const branches = new ConditionStack();
     for (let i = 0; i < lines.length; i++) {
       const line = lines[i]!;
       const { text } = line;
@@ -144,14 +145,14 @@
       const place = line.at(start);
       const control = /^\s*(if|elif|else|endif)\b(?!\s*=)\s*([\s\S]*)$/i.exec(text);
       if (control !== null) {
-        branches.control(control[1]!.toLowerCase(), place, () => this.#holds(control[2]!, place));
+        branches.control(control[1]!.toLowerCase(), place, () => this.#isTrue(control[2]!, place));
         continue;
       }
       if (!branches.active) {
-        // What is left out may hold a list over several lines.
-        if (/^\s*queue\b/i.test(text) && opensList(text)) i = listOf(lines, i).last;
-        const block = ASSIGN.exec(text);
-        if (block !== null && block[3] === "@") i = blockOf(lines, i).last;
+        // The skipped branch may have lists and blocks over several lines.
+        if (/^\s*queue\b/i.test(text) && startsList(text)) i = readList(lines, i).last;
+        const block = ASSIGNMENT.exec(text);
+        if (block !== null && block[3] === "@") i = readBlock(lines, i).last;
         continue;
       }
       const include = /^\s*include\b(?!\s*=)\s*([\s\S]*)$/i.exec(text);
@@ -159,10 +160,10 @@
         yield* this.#include(include[1]!, line, depth);
         continue;
       }
-      const spoken = /^\s*(warning|error)\s*:\s*([\s\S]*)$/i.exec(text);
-      if (spoken !== null) {
-        const said = `the file says: ${this.#expand(spoken[2]!, place)}`;
-        if (spoken[1]!.toLowerCase() === "error") throw new SubmitError(said, place);
+      const message = /^\s*(warning|error)\s*:\s*([\s\S]*)$/i.exec(text);
+      if (message !== null) {
+        const said = `the file says: ${this.#expand(message[2]!, place)}`;
+        if (message[1]!.toLowerCase() === "error") throw new SubmitError(said, place);
         this.options.warn?.(said, place);
         continue;
       }
@@ -171,7 +172,7 @@
       }
       const queue = /^\s*queue\b(?!\s*=)([\s\S]*)$/i.exec(text);
       if (queue !== null) {
-        const list = opensList(text) ? listOf(lines, i) : null;
+        const list = startsList(text) ? readList(lines, i) : null;
         if (list !== null) i = list.last;
         yield* this.#queue(queue[1]!, list?.rows ?? null, place);
         continue;
@@ -181,10 +182,10 @@
     branches.end();
   }
 
-  #holds(condition: string, place: Place): boolean {
-    return holds(
+  #isTrue(condition: string, place: Place): boolean {
+    return evaluateCondition(
       condition,
-      (name) => this.#settings.has(name) || GIVEN.includes(name),
+      (name) => this.#settings.has(name) || PREDEFINED_NAMES.includes(name),
       (text) => this.#expand(text, place),
       place,
     );
@@ -204,27 +205,27 @@
       );
     }
     if (path === "") throw new SubmitError("include needs a file", place);
-    if (depth + 1 > DEEPEST_INCLUDE) {
-      throw new SubmitError(`files include files more than ${DEEPEST_INCLUDE} deep`, place);
+    if (depth + 1 > MAX_INCLUDE_DEPTH) {
+      throw new SubmitError(`files include files more than ${MAX_INCLUDE_DEPTH} deep`, place);
     }
     if (match[1] !== undefined) {
       try {
-        this.#world.read(path);
+        this.#host.read(path);
       } catch {
         return;
       }
     }
-    yield* this.#file(path, place, depth + 1);
+    yield* this.#readFile(path, place, depth + 1);
   }
 
   #assign(lines: readonly Line[], from: number): number {
     const line = lines[from]!;
     const { text } = line;
     const place = line.at(text.search(/\S/));
-    const match = ASSIGN.exec(text);
+    const match = ASSIGNMENT.exec(text);
     if (match === null) {
       const [word = ""] = text.trim().split(/\s/);
-      const meant = nearest(word.toLowerCase(), ["queue", "include", "if", "else", "endif"]);
+      const meant = closestWord(word.toLowerCase(), ["queue", "include", "if", "else", "endif"]);
       throw new SubmitError(
         "this is neither name = value nor a statement",
         place,
@@ -236,17 +237,17 @@
     if (key.includes(".") && !key.startsWith("my.")) {
       throw new SubmitError(`'${name}' is no name`, place, "attributes are MY.Name or +Name");
     }
-    if (GIVEN.includes(key)) {
+    if (PREDEFINED_NAMES.includes(key)) {
       throw new SubmitError(`${name} is set by the program`, place, "choose another name");
     }
     const info = commandOf(key);
-    if (info?.standing === "refused") {
+    if (info?.support === "refused") {
       throw new SubmitError(`${info.name} is not supported here`, place, info.note);
     }
-    let value: Written;
+    let value: LocatedText;
     let last = from;
     if (match[3] === "@") {
-      const block = blockOf(lines, from);
+      const block = readBlock(lines, from);
       last = block.last;
       value = { text: block.rows.map((row) => row.text.trim()).join(" "), at: () => place };
     } else {
@@ -254,19 +255,21 @@
       value = { text: text.slice(begin).trimEnd(), at: (offset) => line.at(begin + offset) };
     }
     const canonical = info === null ? key : info.name;
-    value = this.#withBefore(value, name, canonical, place);
+    value = this.#withPrevious(value, name, canonical, place);
     this.#settings.set(canonical, { ...value, name, place });
-    if (info !== null || key.startsWith("my.")) this.#since.push(this.#settings.get(canonical)!);
+    if (info !== null || key.startsWith("my.")) this.#unqueued.push(this.#settings.get(canonical)!);
     return last;
   }
 
-  /** `x = $(x) more` means the value before, or what stands after the colon. */
-  #withBefore(value: Written, name: string, canonical: string, place: Place): Written {
-    const own = new RegExp(`\\$\\(\\s*${name.replace(".", "\\.")}\\s*(?::([^()$]*))?\\)`, "gi");
-    if (!own.test(value.text)) return value;
-    const before = this.#settings.get(canonical)?.text;
-    const text = value.text.replace(own, (_, otherwise?: string) => {
-      const old = before ?? otherwise;
+  /**
+   * Replaces `$(x)` in `x = $(x) more` by the previous value, or by the default after the colon.
+   */
+  #withPrevious(value: LocatedText, name: string, canonical: string, place: Place): LocatedText {
+    const self = new RegExp(`\\$\\(\\s*${name.replace(".", "\\.")}\\s*(?::([^()$]*))?\\)`, "gi");
+    if (!self.test(value.text)) return value;
+    const previous = this.#settings.get(canonical)?.text;
+    const text = value.text.replace(self, (_, fallback?: string) => {
+      const old = previous ?? fallback;
       if (old !== undefined) return old;
       throw new SubmitError(
         `nothing sets $(${name}) before`,
@@ -280,23 +283,23 @@
   // ---- values ------------------------------------------------------------------------------
 
   #scope(
-    given: ReadonlyMap<string, string>,
-    alike: boolean,
+    values: ReadonlyMap<string, string>,
+    keepProcId: boolean,
     settings: ReadonlyMap<string, Setting> = this.#settings,
   ): Scope {
-    const setting = (name: string): Written | null =>
+    const setting = (name: string): LocatedText | null =>
       settings.get(commandOf(name)?.name ?? name) ?? null;
     return {
-      get: (name) => given.get(name) ?? this.#given(name) ?? setting(name),
-      names: () => [...given.keys(), ...settings.keys()],
-      world: this.#world,
+      get: (name) => values.get(name) ?? this.#predefined(name) ?? setting(name),
+      names: () => [...values.keys(), ...settings.keys()],
+      host: this.#host,
       environment: this.#environment,
-      alike,
+      keepProcId,
     };
   }
 
-  /** What the language sets by itself. */
-  #given(name: string): string | null {
+  /** Values of predefined names that are the same for all procs. */
+  #predefined(name: string): string | null {
     const at = new Date(this.#startedAt);
     const two = (value: number): string => String(value).padStart(2, "0");
     switch (name) {
@@ -325,48 +328,49 @@
   // ---- queues ------------------------------------------------------------------------------
 
   *#queue(rest: string, list: string[] | null, place: Place): Generator<Proc> {
-    this.#queues++;
-    this.#since = [];
+    this.#queueCount++;
+    this.#unqueued = [];
     const queue = parseQueue({
       text: this.#expand(rest, place),
       place,
       list,
-      world: this.#world,
-      most: this.options.maxProcs ?? MOST_PROCS,
+      host: this.#host,
+      maxItems: this.options.maxProcs ?? MAX_PROCS,
     });
-    for (const name of queue.vars) this.#used.add(name.toLowerCase());
+    for (const name of queue.vars) this.#usedNames.add(name.toLowerCase());
     const total = queue.count * (queue.items?.length ?? 1);
-    const most = this.options.maxProcs ?? MOST_PROCS;
-    if (this.#procs + total > most) {
-      throw new SubmitError(`${this.#procs + total} procs; at most ${most}`, place);
+    const limit = this.options.maxProcs ?? MAX_PROCS;
+    if (this.#procCount + total > limit) {
+      throw new SubmitError(`${this.#procCount + total} procs; at most ${limit}`, place);
     }
-    // What the file sets now: a later queue may set it anew.
+    // A copy, since the file may change settings after this queue statement.
     const settings = new Map(this.#settings);
     for (const [row, item] of (queue.items ?? [null]).entries()) {
       for (let step = 0; step < queue.count; step++) {
-        yield this.#proc(queue, this.#procs++, row, step, item, settings);
+        yield this.#proc(queue, this.#procCount++, row, step, item, settings);
       }
     }
   }
 
   #proc(
-    queue: Queue,
+    queue: QueueStatement,
     id: number,
     row: number,
     step: number,
     item: string | null,
     settings: ReadonlyMap<string, Setting>,
   ): Proc {
-    const given = new Map<string, string>();
-    for (const name of ["procid", "process"]) given.set(name, String(id));
-    given.set("node", "0");
-    given.set("step", String(step));
-    for (const name of ["row", "itemindex"]) given.set(name, String(row));
+    const values = new Map<string, string>();
+    for (const name of ["procid", "process"]) values.set(name, String(id));
+    values.set("node", "0");
+    values.set("step", String(step));
+    for (const name of ["row", "itemindex"]) values.set(name, String(row));
     if (item !== null) {
-      for (const [name, value] of fillVars(queue.vars, item)) given.set(name.toLowerCase(), value);
+      for (const [name, value] of splitItem(queue.vars, item))
+        values.set(name.toLowerCase(), value);
     }
-    const scope = this.#scope(given, false, settings);
-    const free = this.#scope(given, true, settings);
+    const scope = this.#scope(values, false, settings);
+    const scopeKeepingProcId = this.#scope(values, true, settings);
     const textOf = (setting: Setting, within: Scope): Value => {
       const text = expand(setting, within).trim();
       const place = setting.at(0);
@@ -379,13 +383,13 @@
         const setting = settings.get(name);
         return setting === undefined ? null : textOf(setting, scope);
       },
-      alike: (name) => {
+      valueKeepingProcId: (name) => {
         const setting = settings.get(name);
         if (setting === undefined) return null;
         try {
-          return textOf(setting, free);
+          return textOf(setting, scopeKeepingProcId);
         } catch (error) {
-          if (error instanceof NotAlike) return textOf(setting, scope);
+          if (error instanceof NeedsProcId) return textOf(setting, scope);
           throw error;
         }
       },
--- a/src/submit/file/text.ts
+++ b/src/submit/file/text.ts
@@ -1,11 +1,13 @@
-/** A place in a file that was read. Lines and columns count from 1. */
+/** A position in a file. Lines and columns count from 1. */
 export interface Place {
   file: string;
   line: number;
   column: number;
 }
 
-/** A submit file that is refused: where, why, and what to write instead. Nothing was submitted. */
+/**
+ * A refused submit file: position, reason, and a hint what to write instead. Nothing was submitted.
+ */
 export class SubmitError extends Error {
   constructor(
     readonly reason: string,
@@ -18,25 +20,29 @@
   }
 }
 
-/** A line as the language sees it: with the lines that continue it. */
+/** A logical line: a line joined with its continuation lines. */
 export interface Line {
   text: string;
-  /** Where a character of `text` stands. */
+  /** Position of a character of `text` in the file. */
   at(offset: number): Place;
 }
 
 /** @throws SubmitError at the first byte that is not UTF-8 */
 export function decodeText(bytes: Uint8Array, file: string): string {
   try {
-    // A byte order mark at the beginning is left out.
+    // The decoder drops a byte order mark at the beginning.
     return new TextDecoder("utf-8", { fatal: true }).decode(bytes);
   } catch {
-    throw new SubmitError("not UTF-8", badByte(bytes, file), "save the file as UTF-8");
+    throw new SubmitError(
+      "not UTF-8",
+      firstInvalidCharacter(bytes, file),
+      "save the file as UTF-8",
+    );
   }
 }
 
-/** The first character that a strict decoder finds fault with. */
-function badByte(bytes: Uint8Array, file: string): Place {
+/** Position of the first character that is not valid UTF-8. */
+function firstInvalidCharacter(bytes: Uint8Array, file: string): Place {
   const decoder = new TextDecoder("utf-8", { fatal: true });
   let line = 1;
   let start = 0;
@@ -56,10 +62,10 @@
 }
 
 /**
- * The lines of a file: ends of lines as on any system, lines that end in `\` joined with the next.
- * Empty lines and comments are left out; a comment inside a continued line as well.
+ * Splits a file into logical lines: line ends of any system, lines that end in `\` joined with the
+ * next. Empty lines and comments are skipped, also a comment inside a continued line.
  */
-export function linesOf(text: string, file: string): Line[] {
+export function splitLines(text: string, file: string): Line[] {
   const rows = text.split(/\r\n|\n|\r/);
   const lines: Line[] = [];
   for (let i = 0; i < rows.length; i++) {
@@ -89,8 +95,8 @@
   return lines;
 }
 
-/** How far two words are apart: letters to add, leave out, change, or swap with the next. */
-export function distance(a: string, b: string): number {
+/** Edit distance: letters to insert, delete, replace, or swap with the next one. */
+export function editDistance(a: string, b: string): number {
   const rows: number[][] = [Array.from({ length: b.length + 1 }, (_, j) => j)];
   for (let i = 1; i <= a.length; i++) {
     const row = [i];
@@ -107,12 +113,12 @@
   return rows[a.length]![b.length]!;
 }
 
-/** The word that was probably meant, or null. */
-export function nearest(word: string, words: Iterable<string>): string | null {
+/** The word closest to a misspelt one, or null if none is close enough. */
+export function closestWord(word: string, words: Iterable<string>): string | null {
   let best: string | null = null;
   let least = Math.max(1, Math.floor(word.length / 3)) + 1;
   for (const one of words) {
-    const far = distance(word, one);
+    const far = editDistance(word, one);
     if (far < least) {
       best = one;
       least = far;
--- a/src/submit/index.ts
+++ b/src/submit/index.ts
@@ -22,14 +22,14 @@
 
 export {
   type CommandInfo,
+  type CommandSupport,
   commandOf,
   commands,
   commandTable,
-  type Standing,
 } from "./file/commands.js";
+export { type HostEnvironment, localHost, matchPaths } from "./file/host-environment.js";
 export { type Proc, type ReadOptions, readSubmit } from "./file/read.js";
 export { type Place, SubmitError } from "./file/text.js";
-export { type FileWorld, matchPaths, realWorld } from "./file/world.js";
 export {
   type PlannedCluster,
   type PlannedJob,
--- a/src/submit/map/job.ts
+++ b/src/submit/map/job.ts
@@ -130,7 +130,7 @@
   const command = commandLine(proc, commandValue);
   const image = commandValue("container_image") ?? commandValue("docker_image");
   const spot = special("Spot");
-  const environment = proc.alike("environment");
+  const environment = proc.valueKeepingProcId("environment");
   const most = commandValue("max_materialize");
   const name = commandValue("batch_name") ?? commandValue("jobbatchname");
   const timing = parseTiming(proc, text("CronTimeZone") ?? defaults.timeZone, defaults.now);
@@ -182,7 +182,7 @@
 }
 
 function commandLine(proc: Proc, commandValue: (name: string) => Value | null): string[] | null {
-  const executable = proc.alike("executable");
+  const executable = proc.valueKeepingProcId("executable");
   if (executable === null || executable.text === "") {
     if (commandValue("container_image") !== null || commandValue("docker_image") !== null)
       return null;
@@ -192,7 +192,7 @@
       "write executable = PROGRAM, or container_image",
     );
   }
-  const words = proc.alike("arguments");
+  const words = proc.valueKeepingProcId("arguments");
   return [executable.text, ...(words === null ? [] : parseArguments(words))];
 }
 
@@ -219,8 +219,8 @@
 }
 
 /**
- * The ad that expressions and controllers read. It has nothing that differs between procs, unless an
- * expression reads ProcId.
+ * The ad that expressions and controllers read. It has nothing that differs between procs, unless
+ * an expression reads ProcId.
  */
 function buildAd(proc: Proc, defaults: PlanDefaults, input: AdInput): Ad {
   const { attributes, timing, limitS, commandValue, disk, name } = input;
--- a/src/submit/map/units.ts
+++ b/src/submit/map/units.ts
@@ -1,5 +1,5 @@
 import { isNumber } from "../../classad/index.js";
-import { constantOf } from "../file/functions.js";
+import { evaluateConstant } from "../file/functions.js";
 import type { Value } from "../file/read.js";
 import { SubmitError } from "../file/text.js";
 
@@ -8,7 +8,7 @@
 
 /** Parses a number or a constant numeric expression of at least `least`. @throws SubmitError */
 export function parseNumber({ text, place }: Value, name: string, least: number): number {
-  const value = constantOf(text);
+  const value = evaluateConstant(text);
   if (!isNumber(value as never)) {
     const why = typeof value === "object" && "reason" in value ? value.reason : `'${text}'`;
     throw new SubmitError(
@@ -43,7 +43,7 @@
 export function parseBoolean({ text, place }: Value, name: string): boolean {
   if (/^(yes|y|t)$/i.test(text)) return true;
   if (/^(no|n|f)$/i.test(text)) return false;
-  const value = constantOf(text);
+  const value = evaluateConstant(text);
   if (typeof value === "boolean") return value;
   if (typeof value === "bigint") return value !== 0n;
   throw new SubmitError(`${name}: neither True nor False: '${text}'`, place);
--- a/src/submit/user/commands.ts
+++ b/src/submit/user/commands.ts
@@ -1,9 +1,9 @@
 import { userInfo } from "node:os";
 import type { Command } from "commander";
 import { RequestRefused, Unanswered } from "../../client/retry.js";
+import { localHost } from "../file/host-environment.js";
 import type { ReadOptions } from "../file/read.js";
 import { SubmitError } from "../file/text.js";
-import { realWorld } from "../file/world.js";
 import { type PlannedCluster, planCluster, submissionBodies } from "../map/cluster.js";
 import { jobId, parseJobId } from "../site/records.js";
 import { SubmitClient } from "./client.js";
@@ -49,7 +49,7 @@
   const timeZone = options.timeZone ?? Intl.DateTimeFormat().resolvedOptions().timeZone;
   // Read only once, since the file may be a pipe: it is planned again when the cluster has a
   // number.
-  const world = realWorld();
+  const world = localHost();
   const bytes = world.read(file);
   const startedAt = world.now();
   let nextDraw = 0;
--- a/test/submit.test.ts
+++ b/test/submit.test.ts
@@ -12,10 +12,10 @@
   analyze,
   commands,
   commandTable,
+  localHost,
   Matcher,
   planCluster,
   readSettings,
-  realWorld,
   requestedAction,
   startLimit,
 } from "../src/submit/index.js";
@@ -503,14 +503,14 @@
   const base = join(import.meta.dirname, "../../test/corpus");
   const cluster = planCluster({
     file: "submit/taken/001-plain.sub",
-    world: realWorld(base),
+    world: localHost(base),
     cluster: 1,
     team: null,
     user: "ann",
     timeZone: "Etc/UTC",
   });
   assert.equal(cluster.procs, 1);
-  const world = realWorld(base);
+  const world = localHost(base);
   // Patterns match hidden files only if they start with a dot.
   assert.deepEqual(world.match("submit/data/*", "any"), [
     "submit/data/1.dat",
--- a/test/support/submit.ts
+++ b/test/support/submit.ts
@@ -3,7 +3,7 @@
 import { coreRecordValidator } from "../../src/controller/record-kinds.js";
 import type { Extension, JobMatcher } from "../../src/extension/index.js";
 import { parseOperators } from "../../src/settings/operators.js";
-import { type FileWorld, matchPaths } from "../../src/submit/index.js";
+import { type HostEnvironment, matchPaths } from "../../src/submit/index.js";
 import type { MachineType } from "../../src/wire/cloud.js";
 import { settingsFor } from "./platform-settings.js";
 
@@ -13,7 +13,7 @@
 /**
  * A file environment with the files of a directory, a fixed clock and two environment variables.
  */
-export function corpusWorld(base: string): FileWorld {
+export function corpusWorld(base: string): HostEnvironment {
   return {
     read: (path) => readFileSync(join(base, path)),
     match: (pattern, kind) =>
@@ -31,7 +31,7 @@
 }
 
 /** A file environment whose files are given as texts or bytes. */
-export function textWorld(files: Record<string, string | Uint8Array>): FileWorld {
+export function textWorld(files: Record<string, string | Uint8Array>): HostEnvironment {
   return {
     ...corpusWorld("/"),
     read: (path) => {
