--- a/src/submit/site/api.ts
+++ b/src/submit/site/api.ts
@@ -120,7 +120,7 @@
     if (reason !== null) return retryLater(503, reason);
     const row = await store.get(keys.name(request.name));
     if (row !== null) return this.#replyForExisting(Number(row.value), request);
-    const last = await store.get(keys.last);
+    const last = await store.get(keys.lastId);
     const id = (typeof last?.value === "number" ? last.value : 0) + 1;
     const record: ClusterRecord = {
       name: request.name,
@@ -139,16 +139,15 @@
     const result = await store.transact(
       [
         { key: keys.name(request.name), version: 0 },
-        { key: keys.last, version: last?.version ?? 0 },
+        { key: keys.lastId, version: last?.version ?? 0 },
       ],
       [
         { put: keys.name(request.name), value: id },
-        { put: keys.last, value: id },
+        { put: keys.lastId, value: id },
         { put: keys.cluster(id), value: record },
       ],
     );
-    // A concurrent submission took the number, or an earlier attempt of this one succeeded after
-    // all.
+    // A concurrent submission got the number, or an earlier attempt of this one succeeded.
     if (!result.ok) return retryLater(503, "try again");
     const { revision: version } = result;
     mirror.apply({ key: keys.cluster(id), value: record, version, deleted: false });
@@ -173,10 +172,7 @@
     return { status: 200, body: { cluster: id, state: record.state } };
   }
 
-  /**
-   * Commits a cluster once all its jobs are submitted: one write, after which all of them may
-   * start.
-   */
+  /** Commits a cluster once all its jobs are submitted. One write lets all of them start. */
   async #commit(id: number): Promise<Reply> {
     const known = await this.clusterStore.read(id);
     if (known === null) return noSuchCluster;
--- a/src/submit/site/cluster-index.ts
+++ b/src/submit/site/cluster-index.ts
@@ -37,8 +37,8 @@
       this.changed.delete(id);
     });
     core.mirror.on(coreKeys.job("wk-c"), ({ key }) => {
-      const place = parseJobId(key.slice(coreKeys.job("").length));
-      if (place !== null && this.clusters.has(place.cluster)) this.changed.add(place.cluster);
+      const jobRef = parseJobId(key.slice(coreKeys.job("").length));
+      if (jobRef !== null && this.clusters.has(jobRef.cluster)) this.changed.add(jobRef.cluster);
     });
   }
 
--- a/src/submit/site/cluster-reconciler.ts
+++ b/src/submit/site/cluster-reconciler.ts
@@ -16,7 +16,7 @@
 
 /**
  * The action that `periodic_*` or a missed deferral window requests now. A pure function. The
- * expressions see only attributes that a controller knows, so they are evaluated completely here.
+ * expressions read only attributes that a controller knows, so they can be evaluated completely.
  */
 export function requestedAction(
   ad: Ad,
@@ -34,8 +34,7 @@
   const now = Math.floor(wallMs / 1000);
   const isTrue = (name: string): boolean => {
     const node = state.get(name)?.node;
-    // Interpreted: it is evaluated once against this ad, so compiling would cost more than it
-    // saves.
+    // Interpreted, since it is evaluated once against this ad: compiling would cost more.
     return node !== undefined && truth(runReference(node, { my: state }, { now }).value) === true;
   };
   const textOf = (name: string): string => print(state.get(name)!.node);
@@ -43,7 +42,7 @@
     return { kind: "remove", reason: `periodic_remove: ${textOf("periodicremove")}` };
   }
   if (hold !== null) {
-    // A hold by the user is released only by the user.
+    // periodic_release ends only holds by periodic_hold; a hold by the user is released by the user.
     const heldByExpression = hold.startsWith("periodic_hold");
     return heldByExpression && isTrue("periodicrelease")
       ? { kind: "release", reason: "periodic_release" }
@@ -137,8 +136,7 @@
         if (this.term.valid()) await this.#step();
         this.#storeAvailable = true;
       } catch (error) {
-        // Writes in flight may still succeed: the next step decides from the records as they are
-        // then.
+        // Writes in flight may still succeed; the next step decides from the records it then finds.
         if (this.#storeAvailable)
           log.warn({ error: String(error) }, "reconciling clusters failed; will retry");
         this.#storeAvailable = false;
--- a/src/submit/site/cluster-store.ts
+++ b/src/submit/site/cluster-store.ts
@@ -38,21 +38,20 @@
     guard: readonly Condition[] = [],
   ): Promise<ClusterRecord | null> {
     const { store, mirror } = this.core;
-    let known = this.clusterIndex.clusters.get(id) ?? (await this.read(id));
-    for (let attempt = 0; attempt < MAX_ATTEMPTS && known !== null; attempt++) {
-      const next = change(known.value);
-      // The record may be stale: checks that it is the newest before reporting that nothing
-      // changes.
+    let current = this.clusterIndex.clusters.get(id) ?? (await this.read(id));
+    for (let attempt = 0; attempt < MAX_ATTEMPTS && current !== null; attempt++) {
+      const next = change(current.value);
+      // The record may be stale: checks that it is the newest before reporting no change.
       if (next === null) {
-        const newest = attempt > 0 ? known : await this.read(id);
-        if (newest === null || newest.version === known.version) return newest?.value ?? null;
-        known = newest;
+        const newest = attempt > 0 ? current : await this.read(id);
+        if (newest === null || newest.version === current.version) return newest?.value ?? null;
+        current = newest;
         continue;
       }
       if (attempt > 0 || guard.length === 0) store.writes.force(1);
       const key = keys.cluster(id);
       const result = await store.transact(
-        [...guard, { key, version: known.version }],
+        [...guard, { key, version: current.version }],
         [{ put: key, value: next }],
       );
       if (result.ok) {
@@ -60,9 +59,9 @@
         return next;
       }
       if (result.failed.some((name) => guard.some((one) => one.key === name))) return null;
-      known = await this.read(id);
+      current = await this.read(id);
     }
-    if (known === null) return null;
+    if (current === null) return null;
     throw new Error(
       `cluster ${id} not updated: ${MAX_ATTEMPTS} attempts conflicted with other writes`,
     );
@@ -72,14 +71,14 @@
    * Cancels a job if it exists and is open. Returns whether it is finished afterwards.
    * `writesCharged`: the caller has already taken the writes from the rate limiter.
    */
-  async cancel(id: string, paid = false): Promise<boolean> {
+  async cancel(id: string, writesCharged = false): Promise<boolean> {
     const { store, mirror } = this.core;
     let row: Pick<Row, "value" | "version"> | null = mirror.rows.get(coreKeys.job(id)) ?? null;
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       if (row === null || attempt > 0) row = await store.get(coreKeys.job(id));
       if (row === null || !isHeader(row.value)) return false;
       if (row.value.status !== "open") return true;
-      if (attempt > 0 || !paid) store.writes.force(2);
+      if (attempt > 0 || !writesCharged) store.writes.force(2);
       if (
         (await tryCancel(store, mirror, id, { header: row.value, version: row.version })) !== null
       )
--- a/src/submit/site/job-matcher.ts
+++ b/src/submit/site/job-matcher.ts
@@ -64,7 +64,7 @@
     const jobRef = parseJobId(id);
     if (jobRef === null || this.#pendingHolds.has(id)) return;
     this.#pendingHolds.add(id);
-    this.core.log.info({ job: id, reason }, "job held");
+    this.core.log.info({ job: id, reason }, "holding job");
     this.clusterStore
       .update(jobRef.cluster, (now) =>
         holdReason(now, jobRef.index) === null ? withHold(now, [jobRef.index], reason) : null,
--- a/src/submit/site/records.ts
+++ b/src/submit/site/records.ts
@@ -5,7 +5,7 @@
  */
 export const keys = {
   /** The highest cluster number given out. */
-  last: "w/x/last",
+  lastId: "w/x/last",
   clusters: "w/x/c/",
   cluster: (id: number): string => `w/x/c/${id}`,
   /** The cluster number of a submission by its name, so that a retry gets the same number. */
@@ -74,14 +74,14 @@
   indices: readonly number[] | null,
   reason: string,
 ): ClusterRecord {
-  const short = reason.slice(0, 200);
-  if (indices === null) return { ...record, held: { "*": short } };
+  const shortReason = reason.slice(0, 200);
+  if (indices === null) return { ...record, held: { "*": shortReason } };
   if (record.held["*"] !== undefined) return record;
   const held = { ...record.held };
-  for (const index of indices) held[index] ??= short;
+  for (const index of indices) held[index] ??= shortReason;
   // Bounded, since the record must fit into a value of the state service.
   return Object.keys(held).length > MAX_HELD_ENTRIES
-    ? { ...record, held: { "*": `${short} (and others)` } }
+    ? { ...record, held: { "*": `${shortReason} (and others)` } }
     : { ...record, held };
 }
 
@@ -94,12 +94,15 @@
   indices: readonly number[] | null,
 ): ClusterRecord | null {
   if (indices === null) return { ...record, held: {} };
-  const all = record.held["*"];
+  const clusterReason = record.held["*"];
   let held = { ...record.held };
-  if (all !== undefined) {
+  if (clusterReason !== undefined) {
     if (record.jobs - indices.length > MAX_HELD_ENTRIES) return null;
     held = Object.fromEntries(
-      Array.from({ length: record.jobs }, (_, index): [string, string] => [String(index), all]),
+      Array.from({ length: record.jobs }, (_, index): [string, string] => [
+        String(index),
+        clusterReason,
+      ]),
     );
   }
   for (const index of indices) delete held[index];
