--- a/src/submit/file/read.ts
+++ b/src/submit/file/read.ts
@@ -261,9 +261,7 @@
     return last;
   }
 
-  /**
-   * Replaces `$(x)` in `x = $(x) more` by the previous value, or by the default after the colon.
-   */
+  /** Replaces `$(x)` in `x = $(x) more` by the previous value, or by the default after `:`. */
   #withPrevious(value: LocatedText, name: string, canonical: string, place: Place): LocatedText {
     const self = new RegExp(`\\$\\(\\s*${name.replace(".", "\\.")}\\s*(?::([^()$]*))?\\)`, "gi");
     if (!self.test(value.text)) return value;
