--- a/test/classad-fuzz.test.ts
+++ b/test/classad-fuzz.test.ts
@@ -269,7 +269,7 @@
           team: null,
           user: "ann",
           timeZone: "Etc/UTC",
-          procs: 100,
+          maxProcs: 100,
         });
         accepted++;
       } catch (error) {
