--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -192,7 +192,6 @@
     this.#followRecords();
   }
 
-  /** Whether some package suspects that another controller has failed. */
   #isSuspected(name: string): boolean {
     return this.#attachments.some(({ isSuspected }) => isSuspected?.(name) === true);
   }
@@ -268,8 +267,6 @@
     return this.#membership.drain(on);
   }
 
-  // ---- parts and leadership --------------------------------------------------------------
-
   #contextOf(index: number, claimVersion: number, lost: (why: string) => void): PartContext {
     const { store, mirror, clock, log, layout, summaries } = this.#core;
     const { params } = this.#settings;
@@ -347,9 +344,8 @@
       yields: (team) => this.#policy?.preemptible(team) === true,
       kept: () => this.#policy?.idleCpusToKeep() ?? 0,
       wanted: () => this.#policy?.capacityRequests() ?? [],
-      // Whether a job could run on a machine of this kind, were one rented and empty.
       suits: (job, { type, zone, spot }) => {
-        const spec = this.#openJobs.open.get(job)?.spec;
+        const spec = this.#openJobs.open.get(job)?.spec; // For an empty machine of the kind.
         return spec !== undefined && this.#placement.allows(spec, { type: type.name, zone, spot });
       },
       settling: () => restoreStateOf(mirror).state === "settling",
@@ -369,8 +365,6 @@
     this.#leaderTasks = [];
   }
 
-  // ---- requests --------------------------------------------------------------------------
-
   #health(): Reply {
     const leaseMs = this.#settings.params.workers.lease_s * 1000;
     const fresh = this.#core.staleness() < leaseMs / 2;
--- a/src/part/batch-builder.ts
+++ b/src/part/batch-builder.ts
@@ -54,10 +54,7 @@
     this.maxChanges = ctx.store.limits.ops;
   }
 
-  /**
-   * Collects all changes, or as many as fit one transaction. A page is written with all its chunks. A
-   * chunk leaves in the same transaction that writes its page and its header.
-   */
+  /** Collects what fits one transaction: whole pages; chunks leave with their page and header. */
   collect(mayLeave = true): WriteBatch {
     const { index, store, mirror } = this.ctx;
     const stored = this.pages;
@@ -151,8 +148,7 @@
         const chunkEnds = chunk.complete || (closed && chunk.allocations.size === 0);
         if (chunkEnds || chunk.allocations.size > 0) chunk.movingTo = null;
         if (chunkEnds && closed && chunk.page === null && chunk.handoverVersion === 0) {
-          // Nothing of it was ever stored.
-          this.ledger.drop(chunk);
+          this.ledger.drop(chunk); // Nothing of it was ever stored.
           continue;
         }
         if (chunk.page !== null) {
@@ -200,8 +196,7 @@
         invalid ||
         !canAdd(vacated.size + headers.size + needed + spare, vacatedBytes + vacatedSize + pageSize)
       ) {
-        // It stays for now and is saved like the others.
-        if (chunk.savedVersion < chunk.version) toSave(chunk);
+        if (chunk.savedVersion < chunk.version) toSave(chunk); // Stays for now, saved like others.
         continue;
       }
       leftChunks.add(chunk);
@@ -268,8 +263,7 @@
     let handovers = 0;
     if (isSmall) unpagedChunks.sort((a, b) => Number(isUrgent(b)) - Number(isUrgent(a)));
     for (const chunk of unpagedChunks) {
-      // Its handover record is removed in the same transaction, one change for each chunk. Without
-      // this limit, transactions had too many changes and failed when many chunks came at once.
+      // Also removes its handover record: unlimited, many at once exceeded a transaction's changes.
       if (chunk.handoverVersion > 0) {
         if (!canAdd(vacated.size + dirty.size + handovers + Math.max(1, spare + 1))) continue;
         handovers++;
