--- a/src/archive/begin-archive.ts
+++ b/src/archive/begin-archive.ts
@@ -1,10 +1,13 @@
 import type { Core, LeaderTerm } from "../extension/index.js";
 import { keys } from "../state/keys.js";
 import { ARCHIVE_SCHEMA, schemaOf } from "../state/schema.js";
-import { encodeLeaf, LAST, leafKey } from "./leaf.js";
+import { END_OF_RANGES, encodeLeaf, leafKey } from "./leaf.js";
 
 /** Names of the controllers that are absent or do not announce support for the archive's schema. */
-export function behind({ layout, mirror }: Pick<Core, "layout" | "mirror">): string[] {
+export function controllersWithoutArchiveSupport({
+  layout,
+  mirror,
+}: Pick<Core, "layout" | "mirror">): string[] {
   return layout.members.flatMap(({ name }) => {
     const value = mirror.rows.get(keys.node(name))?.value as { schema?: unknown } | undefined;
     const knowsSchema = typeof value?.schema === "number" && value.schema >= ARCHIVE_SCHEMA;
@@ -50,13 +53,14 @@
   leaderTerm: Pick<LeaderTerm, "claim"> & Partial<LeaderTerm>,
 ): Promise<boolean> {
   const { store, mirror, layout, log } = core;
-  if (schemaOf(mirror).version !== 1 || behind(core).length > 0) return false;
+  if (schemaOf(mirror).version !== 1 || controllersWithoutArchiveSupport(core).length > 0)
+    return false;
   const types = mirror.rows.get(keys.types);
   const presence = layout.members.map(({ name }) => {
     const key = keys.node(name);
     return { key, version: mirror.rows.get(key)!.version };
   });
-  const firstLeafKey = leafKey(LAST);
+  const firstLeafKey = leafKey(END_OF_RANGES);
   const firstLeafVersion = await prepareFirstLeaf(core, firstLeafKey);
   store.writes.force(BEGIN_TRANSACTION_OPS);
   const result = await store.transact(
--- a/src/archive/index.ts
+++ b/src/archive/index.ts
@@ -7,16 +7,16 @@
 import { decodeLeaf } from "./leaf.js";
 import { Lookups } from "./lookups.js";
 
-export { beginArchive, behind } from "./begin-archive.js";
+export { beginArchive, controllersWithoutArchiveSupport } from "./begin-archive.js";
 export { type Candidates, Mover } from "./job-mover.js";
 export {
   CorruptLeaf,
   covers,
   decodeLeaf,
+  END_OF_RANGES,
   type Entry,
   encodeLeaf,
   findOutcome,
-  LAST,
   type Leaf,
   type LeafRecord,
   lastIdOf,
@@ -24,7 +24,7 @@
   listingStartOf,
 } from "./leaf.js";
 export { type Guard, Lookups } from "./lookups.js";
-export { leafBytes, type Move, type PlanLimits, planMove } from "./move-plan.js";
+export { type Move, maxLeafBytes, type PlanLimits, planMove } from "./move-plan.js";
 
 export function openArchive({ store, clock, log, layout }: Core): Lookups {
   store.writable.add(/^a\/j\//, (value, key) => {
--- a/src/archive/job-mover.ts
+++ b/src/archive/job-mover.ts
@@ -3,7 +3,7 @@
 import { Refused, type Row } from "../state/store.js";
 import { CorruptLeaf, covers, type Leaf } from "./leaf.js";
 import type { Lookups } from "./lookups.js";
-import { leafBytes, type Move, planMove } from "./move-plan.js";
+import { type Move, maxLeafBytes, planMove } from "./move-plan.js";
 
 /** Source of the headers to archive, in order of id. */
 export interface Candidates {
@@ -56,7 +56,7 @@
     const coveredRows = rows.filter((row) => covers(leaf, idOf(row)));
     const move = planMove(leaf, coveredRows, {
       changes,
-      leafBytes: leafBytes(store.limits),
+      leafBytes: maxLeafBytes(store.limits),
       txnBytes: store.limits.txnBytes,
     });
     if (move === null) {
@@ -98,12 +98,12 @@
       result = await store.transact(move.conditions, move.changes);
     } catch (error) {
       // It may have been applied, so the cached leaf may be stale.
-      for (const { key } of move.conditions) this.lookups.changed(key);
+      for (const { key } of move.conditions) this.lookups.invalidate(key);
       if (error instanceof Refused) return false;
       throw error;
     }
     if (!result.ok) {
-      for (const key of result.failed) this.lookups.changed(key);
+      for (const key of result.failed) this.lookups.invalidate(key);
       // Another controller's change of a header arrives by the watch.
       await this.core.mirror.waitForRevision(result.revision);
       return true;
--- a/src/archive/leaf.ts
+++ b/src/archive/leaf.ts
@@ -11,14 +11,14 @@
 import { isMap } from "../wire/cbor.js";
 
 /** Sorts after every id: the end of the last range. */
-export const LAST = "~";
+export const END_OF_RANGES = "~";
 
 /**
  * The key of the range that ends with an id. "," sorts before all characters of an id: without it,
  * an id would not sort after the key of an id that is its prefix.
  */
 export const leafKey = (last: string): string =>
-  last === LAST ? `${keys.archive}${LAST}` : `${keys.archive}${last},`;
+  last === END_OF_RANGES ? `${keys.archive}${END_OF_RANGES}` : `${keys.archive}${last},`;
 
 /** The key to list from: the first key after it is the leaf of the id. */
 export const listingStartOf = (id: string): string => `${keys.archive}${id}`;
@@ -26,7 +26,7 @@
 /** The last id of a leaf's range, from its key; null if it is not the key of a leaf. */
 export function lastIdOf(key: string): string | null {
   const name = key.slice(keys.archive.length);
-  if (name === LAST) return LAST;
+  if (name === END_OF_RANGES) return END_OF_RANGES;
   return name.endsWith(",") ? name.slice(0, -1) : null;
 }
 
@@ -160,7 +160,7 @@
       corrupt(`job "${item}" shares a prefix with "${previousId}" that is longer than it`);
     const id = previousId.slice(0, shared) + idField.slice(1);
     const lowerBound = previousId === "" ? f : previousId;
-    if (id <= lowerBound || (last !== LAST && id > last))
+    if (id <= lowerBound || (last !== END_OF_RANGES && id > last))
       corrupt(`job ${id} is out of order or outside the range`);
     previousId = id;
     const status = statusField[0] === "d" ? "done" : statusField[0] === "c" ? "cancelled" : null;
@@ -188,7 +188,7 @@
 
 /** Whether an id lies in a leaf's range. */
 export const covers = (leaf: Pick<Leaf, "from" | "last">, id: string): boolean =>
-  id > leaf.from && (leaf.last === LAST || id <= leaf.last);
+  id > leaf.from && (leaf.last === END_OF_RANGES || id <= leaf.last);
 
 /** @returns the index of an id, or `-index - 1` with the index where it would be inserted */
 export function searchEntries(entries: readonly Entry[], id: string): number {
--- a/src/archive/lookups.ts
+++ b/src/archive/lookups.ts
@@ -92,7 +92,7 @@
   }
 
   /** Drops a leaf from the cache, after a condition on it failed or a write of it got no answer. */
-  changed(key: string): void {
+  invalidate(key: string): void {
     if (!key.startsWith(keys.archive)) return;
     for (const last of this.#cachedLastIds) {
       if (leafKey(last) !== key) continue;
@@ -102,7 +102,7 @@
   }
 
   /** The final state of a job if it is in a cached leaf, or null. */
-  recall(id: string): JobOutcome | null {
+  findCached(id: string): JobOutcome | null {
     const leaf = this.cachedLeaf(id);
     return leaf === null ? null : findOutcome(leaf.entries, id);
   }
@@ -113,7 +113,7 @@
    * @throws Refused if the rate limit of lookups is exceeded; CorruptLeaf
    */
   async find(id: string): Promise<JobOutcome | null> {
-    return this.recall(id) ?? findOutcome((await this.readLeaf(id)).entries, id);
+    return this.findCached(id) ?? findOutcome((await this.readLeaf(id)).entries, id);
   }
 
   /** What the creation of a job with this id is conditional on; from the cache if possible. */
--- a/src/archive/move-plan.ts
+++ b/src/archive/move-plan.ts
@@ -1,5 +1,5 @@
 import { jsonBytes } from "../jobs/chunk-page.js";
-import { isFullyReleased, isHeader } from "../jobs/job-header.js";
+import { isFullyReleased, isJobHeader } from "../jobs/job-header.js";
 import { outcomeOf } from "../jobs/job-outcome.js";
 import { keys } from "../state/keys.js";
 import type { Change, Condition, Row } from "../state/store.js";
@@ -29,7 +29,7 @@
  * Maximum size of a leaf: half the size of a value leaves room for ids of the maximum length, and two
  * leaves with the other changes fit a transaction at every value size in use.
  */
-export const leafBytes = (limits: { valueBytes: number; txnBytes: number }): number =>
+export const maxLeafBytes = (limits: { valueBytes: number; txnBytes: number }): number =>
   Math.min(limits.valueBytes / 2, limits.txnBytes / 4);
 
 /** Bytes of a transaction beyond its conditions and changes. */
@@ -46,7 +46,8 @@
   const candidates: { row: Row; entry: Entry }[] = [];
   for (const row of rows) {
     const id = row.key.slice(keys.job("").length);
-    const outcome = isHeader(row.value) && isFullyReleased(row.value) ? outcomeOf(row.value) : null;
+    const outcome =
+      isJobHeader(row.value) && isFullyReleased(row.value) ? outcomeOf(row.value) : null;
     if (outcome === null) continue;
     if (searchEntries(leaf.entries, id) >= 0) alreadyArchived.push(row);
     else candidates.push({ row, entry: [id, outcome] });
--- a/src/classad/reads.ts
+++ b/src/classad/reads.ts
@@ -16,7 +16,7 @@
   /** Whether it may read any attribute, because it evaluates text with `eval`. */
   anything: boolean;
   /** Called functions that do not exist, in the case they are written in. */
-  unknown: Set<string>;
+  unknownFunctions: Set<string>;
 }
 
 /** Functions that read the current time. */
@@ -31,7 +31,7 @@
     my: new Set(),
     time: false,
     anything: false,
-    unknown: new Set(),
+    unknownFunctions: new Set(),
   };
   const pending: Node[] = [node];
   for (let next = pending.pop(); next !== undefined; next = pending.pop()) {
@@ -53,7 +53,7 @@
         found.time = true;
       if (next.key === "eval") found.anything = true;
       if (!functions.has(next.key) && lazyFunctions[next.key] === undefined)
-        found.unknown.add(next.name);
+        found.unknownFunctions.add(next.name);
     }
     pending.push(...children(next));
   }
--- a/src/client/retry.ts
+++ b/src/client/retry.ts
@@ -31,7 +31,7 @@
     address: string,
     readonly clock: Clock = systemClock,
     caller?: Caller,
-    readonly patienceMs = GIVE_UP_AFTER_MS,
+    readonly giveUpAfterMs = GIVE_UP_AFTER_MS,
   ) {
     this.caller = caller ?? new HttpClient(address, 1, clock);
   }
@@ -42,7 +42,7 @@
 
   /** `parse` returns null for an invalid answer. @throws RequestRefused, Unanswered */
   protected ask<T>(request: RetriedRequest, parse: (body: unknown) => T | null): Promise<T> {
-    return requestUntilFinal(this.caller, this.clock, this.patienceMs, request, parse);
+    return requestUntilFinal(this.caller, this.clock, this.giveUpAfterMs, request, parse);
   }
 }
 
--- a/src/clock.ts
+++ b/src/clock.ts
@@ -22,7 +22,7 @@
 /**
  * Largest assumed rate difference of two machines' monotonic clocks: twice the 0.05% of PROTOCOL.
  */
-export const DRIFT = 0.001;
+export const MAX_CLOCK_DRIFT_RATIO = 0.001;
 
 export function sleep(clock: Clock, ms: number): Promise<void> {
   return new Promise((resolve) => {
--- a/src/cloud/fleet.ts
+++ b/src/cloud/fleet.ts
@@ -8,8 +8,8 @@
 import { typesKey } from "../state/schema.js";
 import type { Condition, Store } from "../state/store.js";
 import * as wire from "../wire/cloud.js";
-import { type Offer, plan } from "./rental-plan.js";
-import { Forgetting } from "./returned-machine-cleanup.js";
+import { type Offer, planRentals } from "./rental-plan.js";
+import { ReturnedMachineCleanup } from "./returned-machine-cleanup.js";
 import { lowestCpuPrice, SurplusMachines, totalCpus } from "./surplus-machines.js";
 
 export interface FleetContext {
@@ -29,15 +29,15 @@
   dear: number;
   headroom: number;
   /** Whether a team is preemptible: what it uses is no reason to keep machines. */
-  yields(team: string): boolean;
+  isPreemptible(team: string): boolean;
   /** CPUs of idle machines to keep beyond the teams' own demand. */
-  kept(): number;
+  idleCpusToKeep(): number;
   /** Capacity requests to rent for beyond the teams' own need, once that is met. */
-  wanted(): CapacityRequest[];
+  capacityRequests(): CapacityRequest[];
   /** Whether a machine of an offer matches a job with expressions. */
-  suits(job: string, offer: Offer): boolean;
+  jobMatchesOffer(job: string, offer: Offer): boolean;
   /** Whether records were restored and owners place nothing yet (restore reconciliation). */
-  settling(): boolean;
+  reconcilingRestore(): boolean;
   /** Whether this controller is certainly still the leader. */
   valid(): boolean;
 }
@@ -62,7 +62,7 @@
   /** When a part's summary last named a machine. */
   readonly #lastNamedAt = new Map<string, number>();
   readonly #startedAt: number;
-  readonly #cleanup: Forgetting;
+  readonly #cleanup: ReturnedMachineCleanup;
   #lastCleanupAt = 0;
   #types = new Map<string, wire.MachineType>();
   #rentRequestCount = 0;
@@ -81,7 +81,7 @@
     this.#shortageSince = this.#startedAt;
     const { store, mirror, clock, claim } = ctx;
     const keepMs = Math.max(50 * ctx.leaseMs, 10 * ctx.listLagMs);
-    this.#cleanup = new Forgetting(store, mirror, clock, claim, keepMs);
+    this.#cleanup = new ReturnedMachineCleanup(store, mirror, clock, claim, keepMs);
   }
 
   start(): void {
@@ -93,7 +93,7 @@
   }
 
   /** For /about/status: machines that are booting, and how many of them are overdue. */
-  standing(): { booting: number; overdue: number; reachable: boolean } {
+  rentalStatus(): { booting: number; overdue: number; reachable: boolean } {
     let booting = 0;
     let overdue = 0;
     for (const { id, type, state, ageS } of this.#listed.values()) {
@@ -145,7 +145,7 @@
   /** Removes what is remembered of machines that were returned long ago. */
   async #cleanUp(now: number): Promise<void> {
     this.#lastCleanupAt = now;
-    for (const id of this.#cleanup.expired()) this.#returnedCpus.delete(id);
+    for (const id of this.#cleanup.takeExpired()) this.#returnedCpus.delete(id);
     for (const [id, at] of this.#lastNamedAt) {
       if (now - at > this.#cleanup.keepMs) this.#lastNamedAt.delete(id);
     }
@@ -220,7 +220,7 @@
     }
     const names = [...toReturn]
       .filter((id) => !this.#returnedCpus.has(id))
-      .slice(0, wire.MAX_RETURN);
+      .slice(0, wire.MAX_RETURNED_PER_CALL);
     if (names.length === 0 || now - this.#startedAt < this.ctx.leaseMs / 4) return;
     const answer = await this.#call("POST", wire.paths.giveBack, wire.returnBody(names));
     if (answer.status !== 200)
@@ -228,7 +228,7 @@
     this.ctx.log.info({ machines: names }, "machines returned");
     for (const id of names) {
       this.#returnedCpus.set(id, idle.get(id) ?? 0);
-      this.#cleanup.returned(id);
+      this.#cleanup.noteReturned(id);
       this.#listed.delete(id);
       this.#rentedUnlisted.delete(id);
     }
@@ -278,7 +278,14 @@
     );
     const now = this.ctx.clock.now();
     const offers = this.#offers();
-    const requests = plan(needs, booting, this.#types, offers, wire.MAX_RENT, this.ctx.suits);
+    const requests = planRentals(
+      needs,
+      booting,
+      this.#types,
+      offers,
+      wire.MAX_RENTED_PER_CALL,
+      this.ctx.jobMatchesOffer,
+    );
     if (requests.length === 0) this.#shortageSince = now;
     // How long the waiting work takes on all machines, booting ones included.
     let cpus = totalCpus(summaries);
@@ -298,13 +305,13 @@
     }
     // The teams' own need comes first: the cloud's capacity may not suffice for both.
     if (requests.length > 0) return;
-    for (const { offer, count } of plan(
-      this.ctx.wanted(),
+    for (const { offer, count } of planRentals(
+      this.ctx.capacityRequests(),
       booting,
       this.#types,
       offers,
       1,
-      this.ctx.suits,
+      this.ctx.jobMatchesOffer,
     )) {
       if (this.ctx.valid()) await this.#rentMachines(offer, count);
     }
--- a/src/cloud/rental-plan.ts
+++ b/src/cloud/rental-plan.ts
@@ -72,7 +72,7 @@
  * the limit of one request; the next-cheapest offers are requested at the same time, since the
  * available number of each is unknown.
  */
-export function plan(
+export function planRentals(
   needs: readonly CapacityRequest[],
   booting: readonly ListedMachine[],
   types: ReadonlyMap<string, MachineType>,
--- a/src/cloud/returned-machine-cleanup.ts
+++ b/src/cloud/returned-machine-cleanup.ts
@@ -10,7 +10,7 @@
  * machine without a record waits one lease for its report and then has the machine returned again,
  * which the cloud confirms. So deleting too early costs one lease and breaks nothing.
  */
-export class Forgetting {
+export class ReturnedMachineCleanup {
   /** When this leader first saw a record, by its own clock: records carry no time of day. */
   readonly #recordSeenAt = new Map<string, number>();
   /** When a machine was returned. */
@@ -26,12 +26,12 @@
     readonly keepMs: number,
   ) {}
 
-  returned(id: string): void {
+  noteReturned(id: string): void {
     this.#returnedAt.set(id, this.clock.now());
   }
 
   /** Removes and returns the machines returned long ago: they may be returned again if still named. */
-  expired(): string[] {
+  takeExpired(): string[] {
     const cutoff = this.clock.now() - this.keepMs;
     const ids: string[] = [];
     for (const [id, at] of this.#returnedAt) {
--- a/src/cloud/surplus-machines.ts
+++ b/src/cloud/surplus-machines.ts
@@ -40,7 +40,7 @@
         sum +
         waiting +
         Object.entries(use).reduce(
-          (cpus, [team, [used]]) => cpus + (this.ctx.yields(team) ? 0 : used),
+          (cpus, [team, [used]]) => cpus + (this.ctx.isPreemptible(team) ? 0 : used),
           0,
         ),
       0,
@@ -58,7 +58,7 @@
     }
     const chosen = new Map<string, number>();
     // After a restore all machines look idle for a while. Without this check all of them were returned.
-    if (this.ctx.settling()) return chosen;
+    if (this.ctx.reconcilingRestore()) return chosen;
     const idle: { id: string; cpus: number; price: number; headroom: number }[] = [];
     for (const summary of summaries) {
       for (const [id, seconds] of Object.entries(summary.idle)) {
@@ -67,7 +67,7 @@
         if (machine === undefined || type === undefined || seconds * 1000 < this.ctx.leaseMs / 4) {
           continue;
         }
-        if (seconds * 1000 > 3 * bootMs && this.ctx.kept() === 0) {
+        if (seconds * 1000 > 3 * bootMs && this.ctx.idleCpusToKeep() === 0) {
           // Idle for more than three boot times, even if work waits: the waiting work cannot use this
           // machine, and keeping it may prevent the cloud from renting out another one.
           chosen.set(id, type.cpus);
@@ -82,7 +82,7 @@
         idle.push({ id, cpus: type.cpus, price: price / Math.max(type.cpus, 1), headroom });
       }
     }
-    let left = capacity - this.ctx.kept();
+    let left = capacity - this.ctx.idleCpusToKeep();
     for (const { id, cpus, headroom } of idle.sort((a, b) => b.price - a.price)) {
       // 0.5 CPUs of tolerance: the average never quite reaches zero.
       if (left - keptDemand * headroom < cpus - 0.5) continue;
--- a/src/configuration/api.ts
+++ b/src/configuration/api.ts
@@ -1,7 +1,7 @@
 /** The HTTP interface for operators to read and change the configuration. */
 import type { Core } from "../extension/index.js";
 import { type Reply, type Route, type Router, retryLater } from "../http/server.js";
-import { shownLimit } from "../quota/limits.js";
+import { limitForJson } from "../quota/limits.js";
 import { keys } from "../state/keys.js";
 import { isMap } from "../wire/cbor.js";
 import type { Author, ChangeRequest, ChangeResult } from "./author.js";
@@ -50,7 +50,7 @@
   const teams = [...limits].map(([name, limit]) => ({
     name,
     guarantee: guarantees.get(name),
-    limit: shownLimit(limit),
+    limit: limitForJson(limit),
     weight: tree.get(name)?.weight ?? 1,
     group: tree.get(name)?.parent ?? "",
   }));
--- a/src/configuration/author.ts
+++ b/src/configuration/author.ts
@@ -93,7 +93,7 @@
     if (earlierResult !== null) return earlierResult;
     const { head } = live;
     const row = mirror.rows.get(keys.configurationHead);
-    if (row !== undefined && (!isHead(row.value) || !live.current))
+    if (row !== undefined && (!isHead(row.value) || !live.isCurrent))
       return {
         kind: "not ready",
         reason: "this controller cannot read or use the newest revision",
@@ -151,7 +151,7 @@
     }
     if (schemaOf(mirror).version < ARCHIVE_SCHEMA && !(await this.#createArchive()))
       return { kind: "again" };
-    const { stamp } = schemaOf(mirror);
+    const { rowVersion: stamp } = schemaOf(mirror);
     const presence = layout.members.map(({ name }) => {
       const key = keys.node(name);
       return { key, version: mirror.rows.get(key)!.version };
--- a/src/configuration/client.ts
+++ b/src/configuration/client.ts
@@ -18,7 +18,7 @@
 const POLL_INTERVAL_MS = 250;
 
 /** The change is based on an old revision: another author made a newer one. */
-export class Overtaken extends Error {
+export class RevisionConflict extends Error {
   constructor(
     readonly revision: number,
     readonly by: string,
@@ -104,7 +104,7 @@
       const fields = isMap(body) ? body : {};
       if (status === 200) return fields as unknown as ChangeAnswer;
       if (status === 409)
-        throw new Overtaken(Number(fields.revision), String(fields.by), Number(fields.at));
+        throw new RevisionConflict(Number(fields.revision), String(fields.by), Number(fields.at));
       if (status === 422) throw new ChangeRefused(String(fields.name), String(fields.error));
       const why = String(fields.error ?? `status ${status}`);
       if (status === 400 || status === 404) throw new ChangeRefused("", why);
--- a/src/configuration/commands.ts
+++ b/src/configuration/commands.ts
@@ -7,7 +7,7 @@
 import { describeErrorWithPath } from "../errors.js";
 import { SettingsError } from "../settings/settings.js";
 import type { ConfigurationView, ControllerRevision } from "./api.js";
-import { ChangeRefused, ConfigurationClient, lagging, Overtaken } from "./client.js";
+import { ChangeRefused, ConfigurationClient, lagging, RevisionConflict } from "./client.js";
 import { type ChangeFile, readChange } from "./file.js";
 
 /** Exit codes: change not made or not in force; wrong usage or file; no controller answered. */
@@ -68,7 +68,7 @@
     await run(client);
   } catch (error) {
     if (error instanceof SettingsError) fail(error.message, EXIT_USAGE);
-    if (error instanceof Overtaken || error instanceof ChangeRefused)
+    if (error instanceof RevisionConflict || error instanceof ChangeRefused)
       fail(error.message, EXIT_FAILED);
     if (error instanceof Unanswered) fail(`${node}: ${error.message}`, EXIT_NO_ANSWER);
     if (error instanceof RequestRefused) fail(`${node}: ${error.message}`, EXIT_FAILED);
--- a/src/configuration/effective.ts
+++ b/src/configuration/effective.ts
@@ -3,7 +3,7 @@
  * overrides.
  */
 import { type Amounts, addAmounts, type Group, ROOT } from "../fair/share.js";
-import { isLimited, shownLimit } from "../quota/limits.js";
+import { isLimited, limitForJson } from "../quota/limits.js";
 import type { Team } from "../settings/settings.js";
 import type { ConfiguredAmounts, ConfiguredGroup, ConfiguredTeam, Overrides } from "./records.js";
 
@@ -187,7 +187,7 @@
 });
 
 const formatAmounts = (amounts: Amounts | undefined): string => {
-  const { cpus, gpus } = shownLimit(amounts ?? { cpus: 0, gpus: 0 });
+  const { cpus, gpus } = limitForJson(amounts ?? { cpus: 0, gpus: 0 });
   return `${cpus ?? "any"} CPUs, ${gpus ?? "any"} GPUs`;
 };
 
--- a/src/configuration/file.ts
+++ b/src/configuration/file.ts
@@ -1,5 +1,5 @@
 /** Reads a configuration change from protobuf text, the format of the operators' settings. */
-import { parseSources, type Raw, type Refuse, type Source } from "../settings/tuning.js";
+import { parseSources, type Raw, type RejectSettings, type Source } from "../settings/tuning.js";
 import { isGroup, isTeam, type Overrides } from "./records.js";
 
 /** The fields allowed in such a file. */
@@ -10,7 +10,7 @@
   /**
    * Throws a `SettingsError` with file, line and reason; for errors that only a controller detects.
    */
-  refuse: Refuse;
+  refuse: RejectSettings;
 }
 
 /** @throws SettingsError with file, line and reason */
--- a/src/configuration/index.ts
+++ b/src/configuration/index.ts
@@ -10,7 +10,7 @@
   configurationView,
 } from "./api.js";
 export { Author, type ChangeRequest, type ChangeResult } from "./author.js";
-export { ConfigurationClient, Overtaken } from "./client.js";
+export { ConfigurationClient, RevisionConflict } from "./client.js";
 export {
   type BaseConfiguration,
   configurationProblem,
@@ -20,7 +20,7 @@
   merge,
   warningsOf,
 } from "./effective.js";
-export { type DecidingBy, LiveConfiguration } from "./live.js";
+export { type ConfigurationInForce, LiveConfiguration } from "./live.js";
 export {
   type ConfiguredGroup,
   type ConfiguredTeam,
--- a/src/configuration/live.ts
+++ b/src/configuration/live.ts
@@ -27,17 +27,17 @@
 const MAX_LOGGED_CHANGES = 20;
 
 /** The configuration on which a part's decisions are based. */
-export interface DecidingBy {
+export interface ConfigurationInForce {
   /** Current limits; each revision creates a new map. */
   readonly limits: EffectiveConfiguration["limits"];
   /** Condition for commits that place tasks or change slices: the revision in use is the newest. */
   condition(): Condition;
   /** Whether any revision has been made. */
-  readonly revised: boolean;
+  readonly hasRevision: boolean;
   /**
    * False while there is a newer revision that this controller cannot use: no use may grow then.
    */
-  readonly current: boolean;
+  readonly isCurrent: boolean;
 }
 
 export interface LiveOptions {
@@ -58,7 +58,7 @@
   onChange(effective: EffectiveConfiguration): void;
 }
 
-export class LiveConfiguration implements DecidingBy {
+export class LiveConfiguration implements ConfigurationInForce {
   #effective: EffectiveConfiguration;
   #overrides: Overrides = NO_OVERRIDES;
   /** Version of the head record that is in force or was refused; 0: none yet. */
@@ -92,11 +92,11 @@
     return this.#effective.limits;
   }
 
-  get revised(): boolean {
+  get hasRevision(): boolean {
     return this.#headVersion > 0;
   }
 
-  get current(): boolean {
+  get isCurrent(): boolean {
     return this.#refusedRevision === null;
   }
 
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -11,7 +11,7 @@
 import { restoreReconciliationMs } from "../part/restore-reconciliation.js";
 import { isSummary, Summaries, type Summary } from "../part/summary.js";
 import type { Frame } from "../peer/frames.js";
-import { Pipelines } from "../pipeline/index.js";
+import { DependencyTracker } from "../pipeline/index.js";
 import { teamConfigErrors } from "../quota/limits.js";
 import { clusterOf, type Settings } from "../settings/settings.js";
 import { defaultTuning, type Tuning } from "../settings/tuning.js";
@@ -55,7 +55,7 @@
   readonly #fatal: (why: string) => void;
   readonly #policy: PlacementPolicy | null;
   readonly #placement: PlacementConstraints;
-  readonly #pipelines: Pipelines;
+  readonly #pipelines: DependencyTracker;
   #types = new Map<string, MachineType>();
   #fleet: Fleet | null = null;
   #leaderTasks: { stop(): void }[] = [];
@@ -84,7 +84,7 @@
       types: () => this.#types,
       staleness: () => clock.now() - mirror.freshAsOf,
       inspect: (which) => [...this.#owned.parts.values()].map((part) => part.inspect(which)),
-      rental: () => this.#fleet?.standing() ?? null,
+      rental: () => this.#fleet?.rentalStatus() ?? null,
     };
     this.#core = core;
     this.#settings = settings;
@@ -102,12 +102,12 @@
     this.#attachments = (extensions ?? []).map((extension) => extension.attach(core));
     this.#policy = this.#attachments.find(({ policy }) => policy !== undefined)?.policy ?? null;
     // Subscribes to the headers first: later subscribers query it about the change just applied.
-    this.#pipelines = new Pipelines(mirror, links.store, clock, log, reportMs, (id) =>
+    this.#pipelines = new DependencyTracker(mirror, links.store, clock, log, reportMs, (id) =>
       this.#jobApi.awaitedOutcome(id),
     );
     this.#placement = new PlacementConstraints(
       this.#attachments.find(({ matcher }) => matcher !== undefined)?.matcher ?? null,
-      (id) => this.#pipelines.waits(id),
+      (id) => this.#pipelines.isBlocked(id),
     );
     this.#openJobs = new OpenJobs(
       () => this.#configuration.live.effective.guarantees,
@@ -341,14 +341,14 @@
       listLagMs: params.cloud.list_lag_s * 1000,
       leaseMs: params.workers.lease_s * 1000,
       ...this.#tuning.rental,
-      yields: (team) => this.#policy?.preemptible(team) === true,
-      kept: () => this.#policy?.idleCpusToKeep() ?? 0,
-      wanted: () => this.#policy?.capacityRequests() ?? [],
-      suits: (job, { type, zone, spot }) => {
+      isPreemptible: (team) => this.#policy?.preemptible(team) === true,
+      idleCpusToKeep: () => this.#policy?.idleCpusToKeep() ?? 0,
+      capacityRequests: () => this.#policy?.capacityRequests() ?? [],
+      jobMatchesOffer: (job, { type, zone, spot }) => {
         const spec = this.#openJobs.open.get(job)?.spec; // For an empty machine of the kind.
         return spec !== undefined && this.#placement.allows(spec, { type: type.name, zone, spot });
       },
-      settling: () => restoreStateOf(mirror).state === "settling",
+      reconcilingRestore: () => restoreStateOf(mirror).state === "settling",
       valid,
     });
     this.#fleet.start();
--- a/src/controller/history.ts
+++ b/src/controller/history.ts
@@ -1,6 +1,6 @@
 import { sleep } from "../clock.js";
 import type { Core, LeaderTerm } from "../extension/index.js";
-import { isFullyReleased, isHeader } from "../jobs/job-header.js";
+import { isFullyReleased, isJobHeader } from "../jobs/job-header.js";
 import type { JobOutcome } from "../jobs/job-outcome.js";
 import type { HistoryFigures } from "../metrics.js";
 import { defaultArchive } from "../settings/tuning.js";
@@ -85,7 +85,7 @@
       if (deleted) {
         this.#finished.delete(id);
         this.#finishedStillRead.delete(id);
-      } else if (!isHeader(value)) {
+      } else if (!isJobHeader(value)) {
         // Its state is unknown: requests for the job are answered with 503 until an operator
         // repairs it.
         core.log.error(
@@ -159,7 +159,7 @@
   #skipsRow({ key, value }: Row): boolean {
     if (!key.startsWith(JOB_HEADER_PREFIX) || this.#finished.size < this.#maxInMemory) return false;
     if (
-      !isHeader(value) ||
+      !isJobHeader(value) ||
       !isFullyReleased(value) ||
       this.needsHeader(key.slice(JOB_HEADER_PREFIX.length))
     )
@@ -211,7 +211,7 @@
 
   /** The cached outcome of an archived job, or null. */
   cachedOutcome(id: string): JobOutcome | null {
-    return this.#lookups?.recall(id) ?? null;
+    return this.#lookups?.findCached(id) ?? null;
   }
 
   /**
@@ -246,7 +246,7 @@
    */
   async guard(id: string): Promise<Guard> {
     this.#requireCompleteRecords();
-    const { version, stamp } = schemaOf(this.core.mirror);
+    const { version, rowVersion: stamp } = schemaOf(this.core.mirror);
     // Required also while there is no archive: a transaction that is applied late, after an archive
     // was created and the job moved into it, must fail.
     const when = [{ key: keys.schema, version: stamp }];
@@ -257,7 +257,7 @@
 
   /** Discards what is cached for keys whose conditions failed. */
   discardCached(failed: readonly string[]): void {
-    for (const key of failed) this.#lookups?.changed(key);
+    for (const key of failed) this.#lookups?.invalidate(key);
   }
 
   // ---- moving jobs to the archive ------------------------------------------------------------
@@ -382,7 +382,7 @@
     const page = await this.core.store.page(JOB_HEADER_PREFIX, this.#scanCursor, BATCH_SIZE);
     const rows = page.rows.filter(({ key, value }) => {
       const id = key.slice(JOB_HEADER_PREFIX.length);
-      if (this.#finished.has(id) || this.#quarantined.has(key) || !isHeader(value)) return false;
+      if (this.#finished.has(id) || this.#quarantined.has(key) || !isJobHeader(value)) return false;
       return isFullyReleased(value) && !this.isInUse(id) && !this.needsHeader(id);
     });
     this.#foundInScan += rows.length;
--- a/src/controller/job-api.ts
+++ b/src/controller/job-api.ts
@@ -4,10 +4,10 @@
 import { type Reply, retryLater } from "../http/server.js";
 import { tryCancel } from "../jobs/cancel.js";
 import { jsonBytes } from "../jobs/chunk-page.js";
-import { finishedTasks, isHeader, type JobHeader, shownStatus } from "../jobs/job-header.js";
+import { finishedTasks, isJobHeader, type JobHeader, statusForUsers } from "../jobs/job-header.js";
 import type { JobOutcome } from "../jobs/job-outcome.js";
 import type { Part } from "../part/part.js";
-import type { Ended, Pipelines } from "../pipeline/index.js";
+import type { DependencyTracker, JobLookupResult } from "../pipeline/index.js";
 import { keys } from "../state/keys.js";
 import { RateLimiter } from "../state/rate-limiter.js";
 import { restoreStateOf } from "../state/restore-state.js";
@@ -55,7 +55,7 @@
     readonly refusals: Refusals,
     /** Whether a team has a guarantee. */
     readonly hasGuarantee: (team: string) => boolean,
-    readonly pipelines: Pipelines,
+    readonly pipelines: DependencyTracker,
   ) {
     const { store, clock, layout } = core;
     const share = store.limits.writeRps / layout.parts;
@@ -67,7 +67,7 @@
 
   #watchedHeader(id: string): JobHeader | null {
     const row = this.core.mirror.rows.get(keys.job(id));
-    return row !== undefined && isHeader(row.value) ? row.value : null;
+    return row !== undefined && isJobHeader(row.value) ? row.value : null;
   }
 
   /**
@@ -79,18 +79,18 @@
   #statusOf(id: string, found: Found): JobStatus {
     if ("past" in found) return found.past.status;
     const { status, spec } = found.header;
-    if (status !== "open" || spec?.after === undefined) return shownStatus(found.header);
-    const fate = this.pipelines.fate(id);
+    if (status !== "open" || spec?.after === undefined) return statusForUsers(found.header);
+    const fate = this.pipelines.dependencyState(id);
     if (fate === "unknown") throw new Refused("an awaited job has not been looked up yet");
     if (fate === "cancelled") return "cancelled";
-    return fate === "waits" ? "pending" : shownStatus(found.header);
+    return fate === "waits" ? "pending" : statusForUsers(found.header);
   }
 
   /** The outcome of an awaited job. @throws while it is not known */
-  async awaitedOutcome(id: string): Promise<Ended> {
+  async awaitedOutcome(id: string): Promise<JobLookupResult> {
     const row = await this.core.store.get(keys.job(id));
     if (row === null) return this.history.find(id);
-    if (!isHeader(row.value)) throw new Error(`job ${id}: unreadable job header`);
+    if (!isJobHeader(row.value)) throw new Error(`job ${id}: unreadable job header`);
     return { status: row.value.status, over: row.value.over ?? null };
   }
 
@@ -108,7 +108,7 @@
   async #findCurrent(id: string): Promise<Found | null> {
     const { mirror, store } = this.core;
     const known = mirror.rows.get(keys.job(id));
-    if (known !== undefined && isHeader(known.value) && known.value.status !== "open") {
+    if (known !== undefined && isJobHeader(known.value) && known.value.status !== "open") {
       return { header: known.value, version: known.version };
     }
     const remembered = this.history.cachedOutcome(id);
@@ -118,7 +118,7 @@
       // it is known to be current; concurrent requests share that check.
       await mirror.waitUntilCurrent();
       const row = mirror.rows.get(keys.job(id));
-      if (row !== undefined && isHeader(row.value)) {
+      if (row !== undefined && isJobHeader(row.value)) {
         return { header: row.value, version: row.version };
       }
     } else if (known === undefined) this.history.admitLookup(id);
@@ -127,12 +127,12 @@
       const past = await this.history.find(id);
       return past === null ? null : { past };
     }
-    if (!isHeader(row.value)) throw new Error(`job ${id}: unreadable job header`);
+    if (!isJobHeader(row.value)) throw new Error(`job ${id}: unreadable job header`);
     if (row.value.status === "open" && row.value.spec?.after !== undefined) {
       // The state of the awaited jobs is known only from the watched copy.
       await mirror.waitUntilCurrent();
       const seen = mirror.rows.get(keys.job(id));
-      if (seen === undefined || !isHeader(seen.value))
+      if (seen === undefined || !isJobHeader(seen.value))
         throw new Refused("the job's header is not watched yet");
       return { header: seen.value, version: seen.version };
     }
@@ -142,7 +142,7 @@
   /** Finds a job where any version of its header will do: the watched copy need not be current. */
   async #findAnyVersion(id: string): Promise<Found | null> {
     const row = this.core.mirror.rows.get(keys.job(id));
-    if (row !== undefined && isHeader(row.value))
+    if (row !== undefined && isJobHeader(row.value))
       return { header: row.value, version: row.version };
     return this.#findCurrent(id);
   }
@@ -166,7 +166,7 @@
           const known = await this.#findCurrent(id);
           if (known === null) {
             if (refusal.status === 503) return retryLater(503, refusal.reason);
-            this.refusals.note(id, spec.team, refusal.why, refusal.reason);
+            this.refusals.record(id, spec.team, refusal.why, refusal.reason);
             return { status: refusal.status, body: { error: refusal.reason } };
           }
         } else {
@@ -245,7 +245,7 @@
           epoch,
         );
         // If an awaited job was cancelled long ago, this job must never be shown as pending.
-        const cancelled = awaitsCancelled || this.pipelines.fate(id) === "cancelled";
+        const cancelled = awaitsCancelled || this.pipelines.dependencyState(id) === "cancelled";
         return { status: 201, body: statusBody(id, cancelled ? "cancelled" : "pending") };
       }
       if (result.failed.includes(key)) return null;
@@ -339,7 +339,8 @@
       const counts =
         "past" in known ? { done: known.past.done, running: 0 } : this.#counts(id, known.header);
       // For display only; limited because the list may be long.
-      const awaitedJobs = status === "pending" ? this.pipelines.waitsFor(id).slice(0, 20) : [];
+      const awaitedJobs =
+        status === "pending" ? this.pipelines.pendingDependencies(id).slice(0, 20) : [];
       const details = awaitedJobs.length === 0 ? counts : { ...counts, awaits: awaitedJobs };
       return { status: 200, body: statusBody(id, status, details) };
     } catch (error) {
--- a/src/controller/open-jobs.ts
+++ b/src/controller/open-jobs.ts
@@ -2,9 +2,9 @@
 import { type DueJob, selectOnTimeJobs } from "../fair/on-time-jobs.js";
 import { type Amounts, fitsWithin, subtractAmounts } from "../fair/share.js";
 import { dueTime, type Targets } from "../jobs/due-time.js";
-import { isHeader, type JobHeader, unfinishedChunks } from "../jobs/job-header.js";
+import { isJobHeader, type JobHeader, unfinishedChunks } from "../jobs/job-header.js";
 import type { Summaries } from "../part/summary.js";
-import type { Pipelines } from "../pipeline/index.js";
+import type { DependencyTracker } from "../pipeline/index.js";
 import { JOB_HEADER_PREFIX } from "../state/keys.js";
 import type { Mirror } from "../state/mirror.js";
 import type { JobSpec } from "../wire/jobs.js";
@@ -40,7 +40,7 @@
      */
     readonly cannotStart: (id: string, spec: JobSpec) => boolean = () => false,
     /** Priority and due time of jobs in pipelines. */
-    readonly pipelines: Pick<Pipelines, "rank" | "due" | "since"> | null = null,
+    readonly pipelines: Pick<DependencyTracker, "rank" | "due" | "since"> | null = null,
   ) {}
 
   /** Subscribes to the job headers; calls `tell` for each change after it is applied here. */
@@ -54,7 +54,7 @@
         if (hasStartConditions(known)) this.#startConditionCount--;
         return;
       }
-      if (!isHeader(value)) return;
+      if (!isJobHeader(value)) return;
       if (value.status !== "open") {
         if (this.open.delete(id)) this.#withinGuarantee = null;
         if (hasStartConditions(known)) this.#startConditionCount--;
@@ -124,9 +124,9 @@
       const due: DueJob = {
         id,
         rank: this.pipelines?.rank(id, spec.rank) ?? spec.rank,
-        leftS: (this.#dueTime(id, spec, at) - wall) / 1000,
-        taskS: spec.estimateS,
-        work: tasksLeft * spec.cpus * spec.estimateS,
+        dueInS: (this.#dueTime(id, spec, at) - wall) / 1000,
+        taskEstimateS: spec.estimateS,
+        remainingCpuSeconds: tasksLeft * spec.cpus * spec.estimateS,
       };
       const list = jobs.get(spec.team);
       if (list === undefined) jobs.set(spec.team, [due]);
--- a/src/controller/package-access.ts
+++ b/src/controller/package-access.ts
@@ -18,7 +18,7 @@
     valid: () => membership().valid(),
     lease: () => membership().lease,
     ownerOf: (part) => membership().ownerOf(part),
-    served: () => owners().served(),
+    servedParts: () => owners().served(),
     reassign: (...asked) => membership().handover.reassign(...asked),
     relinquish: (forMs, why) => membership().relinquish([...owners().parts.keys()], forMs, why),
   };
--- a/src/controller/refusals.ts
+++ b/src/controller/refusals.ts
@@ -35,7 +35,7 @@
     readonly logIntervalMs: number,
   ) {}
 
-  note(job: string, team: string, why: RefusalReason, reason: string): void {
+  record(job: string, team: string, why: RefusalReason, reason: string): void {
     // Requests may contain arbitrary team names: all unknown ones are counted under one label.
     const label = this.teams.has(team) ? team : "(unknown)";
     this.metrics.add({ kind: "refused", team: label, why });
--- a/src/controller/status.ts
+++ b/src/controller/status.ts
@@ -1,7 +1,7 @@
 import type { EffectiveConfiguration } from "../configuration/index.js";
 import type { Core } from "../extension/index.js";
 import { fitsWithin, ShareTree } from "../fair/share.js";
-import { shownLimit } from "../quota/limits.js";
+import { limitForJson } from "../quota/limits.js";
 
 /**
  * The parts and teams in `/about/status`, as far as this controller knows them: for people, and for
@@ -33,7 +33,7 @@
     // The team's limit was lowered below its use: none of its tasks start until it uses less.
     ...(fitsWithin(tree.use(name), limit) ? {} : { overLimit: true }),
     guarantee: guarantees.get(name),
-    limit: shownLimit(limit),
+    limit: limitForJson(limit),
     share: tree.share(name),
     jobs: jobsOf(name),
   }));
--- a/src/diagnose/index.ts
+++ b/src/diagnose/index.ts
@@ -6,8 +6,8 @@
  */
 import type { Attachment, Core, Extension } from "../extension/index.js";
 import type { Route } from "../http/server.js";
-import { isHeader, partChar } from "../jobs/job-header.js";
-import type { PackageDoor } from "../settings/package-definition.js";
+import { isJobHeader, partChar } from "../jobs/job-header.js";
+import type { PackageDefinition } from "../settings/package-definition.js";
 import { keys } from "../state/keys.js";
 import { isJobId } from "../wire/jobs.js";
 import type { ControllerView } from "./obstacles.js";
@@ -38,7 +38,7 @@
 export function buildView(core: Core, id: string | null, stuckMs: number): ControllerView {
   const { mirror, layout, claims, settings } = core;
   const value = id === null ? undefined : mirror.rows.get(keys.job(id))?.value;
-  const header = value !== undefined && isHeader(value) ? value : null;
+  const header = value !== undefined && isJobHeader(value) ? value : null;
   const parts = core.inspect(id === null ? { stuckMs } : { id });
   const rental = core.rental();
   return {
@@ -93,7 +93,7 @@
   }
 }
 
-export const door: PackageDoor = {
+export const door: PackageDefinition = {
   schema: {
     field: "diagnose",
     number: 103,
@@ -105,7 +105,7 @@
 }
 `,
   },
-  open: (raw, settings, refuse) => {
+  createExtension: (raw, settings, refuse) => {
     const { stuck = 2 } = (raw ?? {}) as { stuck?: number };
     if (!(stuck >= 0.5 && stuck <= 100)) refuse("stuck: must be from 0.5 to 100", "stuck");
     return new DiagnoseExtension(stuck * settings.params.workers.lease_s * 1000);
--- a/src/errors.ts
+++ b/src/errors.ts
@@ -9,7 +9,7 @@
 };
 
 /** Describes an operating system's error for users; its message where there is no description. */
-export function sentenceOf(error: unknown): string {
+export function describeError(error: unknown): string {
   const { code, message } = error as NodeJS.ErrnoException;
   if (code === undefined) return message ?? String(error);
   return DESCRIPTIONS[code] ?? message ?? code;
@@ -22,6 +22,6 @@
     port?: number;
   };
   const where = path ?? (address === undefined ? undefined : `${address}:${port ?? ""}`);
-  const sentence = sentenceOf(error);
+  const sentence = describeError(error);
   return where === undefined || sentence.includes(where) ? sentence : `${where}: ${sentence}`;
 }
--- a/src/extension/index.ts
+++ b/src/extension/index.ts
@@ -9,7 +9,7 @@
 import type { Log } from "../log.js";
 import type { Layout } from "../membership/layout.js";
 import type { ControllerStability } from "../membership/stability.js";
-import type { Inspected, PartInspection } from "../part/inspect.js";
+import type { InspectionQuery, PartInspection } from "../part/inspect.js";
 import type { CapacityRequest, Summaries } from "../part/summary.js";
 import type { Frame } from "../peer/frames.js";
 import type { Settings } from "../settings/settings.js";
@@ -32,7 +32,7 @@
   lease(): number | string | null;
   ownerOf(part: number): string | null;
   /** Parts loaded here, and when a worker of each last proved that it received an answer. */
-  served(): { part: number; machines: number; servedAt: number }[];
+  servedParts(): { part: number; machines: number; servedAt: number }[];
   /**
    * Writes all claims of another controller's run for its successors, in one transaction that is
    * conditional on their versions and on `when`. Returns false if any of them has changed, or if
@@ -74,7 +74,7 @@
    * What the owners here know of one job, or of work within guarantees that makes no progress; for
    * display.
    */
-  inspect(which: Inspected): PartInspection[];
+  inspect(which: InspectionQuery): PartInspection[];
   /** State of machine rental; null if this controller is not the leader. */
   rental(): { booting: number; overdue: number; reachable: boolean } | null;
 }
--- a/src/fair/on-time-jobs.ts
+++ b/src/fair/on-time-jobs.ts
@@ -3,11 +3,11 @@
   id: string;
   rank: number;
   /** Seconds from now until its due time. */
-  leftS: number;
+  dueInS: number;
   /** The user's estimate for the run time of one task, in seconds. */
-  taskS: number;
+  taskEstimateS: number;
   /** Remaining work of the job, in CPU seconds. */
-  work: number;
+  remainingCpuSeconds: number;
 }
 
 /**
@@ -34,20 +34,20 @@
   const ranks = [...new Set(jobs.map(({ rank }) => rank))].sort((a, b) => b - a);
   let acceptedWork = 0;
   for (const rank of ranks) {
-    const byDueTime = jobs.filter((job) => job.rank === rank).sort((a, b) => a.leftS - b.leftS);
+    const byDueTime = jobs.filter((job) => job.rank === rank).sort((a, b) => a.dueInS - b.dueInS);
     const accepted: DueJob[] = [];
     let totalWork = acceptedWork;
     for (const job of byDueTime) {
-      if (cannotBeOnTime(job.leftS, job.taskS)) continue;
+      if (cannotBeOnTime(job.dueInS, job.taskEstimateS)) continue;
       accepted.push(job);
-      totalWork += job.work;
-      if (totalWork / cpus <= job.leftS) continue;
+      totalWork += job.remainingCpuSeconds;
+      if (totalWork / cpus <= job.dueInS) continue;
       let largest = 0;
-      for (const [i, { work }] of accepted.entries())
-        if (work > accepted[largest]!.work) largest = i;
-      totalWork -= accepted.splice(largest, 1)[0]!.work;
+      for (const [i, { remainingCpuSeconds: work }] of accepted.entries())
+        if (work > accepted[largest]!.remainingCpuSeconds) largest = i;
+      totalWork -= accepted.splice(largest, 1)[0]!.remainingCpuSeconds;
     }
-    for (const { id, work } of accepted) {
+    for (const { id, remainingCpuSeconds: work } of accepted) {
       onTime.add(id);
       acceptedWork += work;
     }
--- a/src/image/check.ts
+++ b/src/image/check.ts
@@ -1,4 +1,4 @@
-import { CorruptLeaf, decodeLeaf, LAST, lastIdOf } from "../archive/index.js";
+import { CorruptLeaf, decodeLeaf, END_OF_RANGES, lastIdOf } from "../archive/index.js";
 import type { ChunkState } from "../jobs/chunk.js";
 import { readPage } from "../jobs/chunk-page.js";
 import { FINISHED, headerError, type JobHeader, partChar } from "../jobs/job-header.js";
@@ -195,8 +195,8 @@
     }
     from = lastIdOf(key) ?? from;
   }
-  if (from !== LAST)
-    addFinding(`${keys.archive}${LAST}`, "the last leaf of the archive is missing");
+  if (from !== END_OF_RANGES)
+    addFinding(`${keys.archive}${END_OF_RANGES}`, "the last leaf of the archive is missing");
   if (!image.rows.has(keys.leader)) {
     addFinding(
       keys.leader,
--- a/src/image/chunk-deduplication.ts
+++ b/src/image/chunk-deduplication.ts
@@ -14,7 +14,7 @@
  * were written in one transaction (`docs/state.md`). A restore writes all records anew, so their
  * versions would no longer tell which is newest.
  */
-export function newestOnly(rows: Image["rows"]): Image["rows"] {
+export function keepNewestChunkStates(rows: Image["rows"]): Image["rows"] {
   const storedStates = new Map<string, StoredState[]>();
   const pages = new Map<string, Map<string, ChunkState>>();
   for (const [key, { value, version }] of rows) {
--- a/src/image/collect.ts
+++ b/src/image/collect.ts
@@ -1,6 +1,6 @@
 import type { Clock } from "../clock.js";
 import type { Event, Row, Store } from "../state/store.js";
-import { newestOnly } from "./chunk-deduplication.js";
+import { keepNewestChunkStates } from "./chunk-deduplication.js";
 import { retryUnavailable } from "./retry.js";
 
 /** All keys as they were at one revision. */
@@ -103,7 +103,7 @@
       return {
         revision,
         takenAt: Math.round(clock.wall()),
-        rows: newestOnly(mergeChanges(scans, revision)),
+        rows: keepNewestChunkStates(mergeChanges(scans, revision)),
       };
     }
   }
--- a/src/image/commands.ts
+++ b/src/image/commands.ts
@@ -1,7 +1,7 @@
 import { Command, CommanderError } from "commander";
 import { systemClock } from "../clock.js";
 import { HttpClient } from "../http/client.js";
-import { limitsOf } from "../quota/limits.js";
+import { limitsByTeam } from "../quota/limits.js";
 import { clusterOf, loadSettings, type Settings } from "../settings/settings.js";
 import { StoreClient, storeLimits } from "../state/store.js";
 import { checkImage, type Finding } from "./check.js";
@@ -108,7 +108,7 @@
     .action(async (file: string) => {
       const image = await readImage(file);
       const limits =
-        configFile() === undefined ? undefined : limitsOf(requiredSettings().params.teams);
+        configFile() === undefined ? undefined : limitsByTeam(requiredSettings().params.teams);
       const findings = checkImage(image, { limits });
       printFindings(file, findings);
       if (findings.length > 0) throw new CommanderError(1, "state.check", "findings");
@@ -121,7 +121,7 @@
     .argument("<mended>", "the image to write")
     .action(async (file: string, mended: string) => {
       const limits =
-        configFile() === undefined ? undefined : limitsOf(requiredSettings().params.teams);
+        configFile() === undefined ? undefined : limitsByTeam(requiredSettings().params.teams);
       const { image, repairs, remaining } = repairImage(await readImage(file), { limits });
       printFindings(file, repairs);
       await writeImage(mended, image);
--- a/src/image/overview.ts
+++ b/src/image/overview.ts
@@ -1,6 +1,6 @@
 import { decodeLeaf } from "../archive/index.js";
 import { decodePage, isPage } from "../jobs/chunk-page.js";
-import { isHeader } from "../jobs/job-header.js";
+import { isJobHeader } from "../jobs/job-header.js";
 import { type JobOutcome, outcomeOf } from "../jobs/job-outcome.js";
 import { JOB_HEADER_PREFIX, keys } from "../state/keys.js";
 import type { Image } from "./collect.js";
@@ -27,7 +27,7 @@
   let gone = 0;
   for (const [key, { value, version }] of image.rows) {
     if (key.startsWith(JOB_HEADER_PREFIX)) {
-      if (isHeader(value)) jobs[value.status]++;
+      if (isJobHeader(value)) jobs[value.status]++;
     } else if (key.startsWith(keys.archive)) {
       leaves++;
       jobs.archived += entriesOf(key, value, version).length;
@@ -72,7 +72,7 @@
   const unarchived: (readonly [id: string, outcome: JobOutcome])[] = [];
   for (const [key, { value }] of image.rows) {
     if (key.startsWith(keys.archive)) leaves.push(key);
-    else if (key.startsWith(JOB_HEADER_PREFIX) && isHeader(value)) {
+    else if (key.startsWith(JOB_HEADER_PREFIX) && isJobHeader(value)) {
       const outcome = outcomeOf(value);
       if (outcome !== null) unarchived.push([key.slice(JOB_HEADER_PREFIX.length), outcome]);
     }
--- a/src/image/repair.ts
+++ b/src/image/repair.ts
@@ -1,6 +1,6 @@
 import type { ChunkState } from "../jobs/chunk.js";
 import { encodePage, readPage } from "../jobs/chunk-page.js";
-import { isHeader, type JobHeader } from "../jobs/job-header.js";
+import { isJobHeader, type JobHeader } from "../jobs/job-header.js";
 import type { SliceRecord } from "../quota/slices.js";
 import { JOB_HEADER_PREFIX, keys } from "../state/keys.js";
 import { type CheckOptions, checkImage, chunkFault, type Finding } from "./check.js";
@@ -62,7 +62,7 @@
 function headersOf(rows: Image["rows"]): Map<string, JobHeader> {
   const headers = new Map<string, JobHeader>();
   for (const [key, { value }] of rows) {
-    if (key.startsWith(JOB_HEADER_PREFIX) && isHeader(value))
+    if (key.startsWith(JOB_HEADER_PREFIX) && isJobHeader(value))
       headers.set(key.slice(JOB_HEADER_PREFIX.length), value);
   }
   return headers;
--- a/src/jobs/chunk.ts
+++ b/src/jobs/chunk.ts
@@ -47,7 +47,7 @@
   /** All tasks before this one are placed or done. */
   scanStart = 0;
   /** The part to which it is being handed over; meanwhile none of its tasks are placed. */
-  movingTo: number | null = null;
+  handoverTarget: number | null = null;
 
   constructor(
     readonly job: string,
--- a/src/jobs/job-header.ts
+++ b/src/jobs/job-header.ts
@@ -79,7 +79,7 @@
   return done;
 }
 
-export function shownStatus(header: JobHeader): JobStatus {
+export function statusForUsers(header: JobHeader): JobStatus {
   if (header.status !== "open") return header.status;
   return header.started ? "running" : "pending";
 }
@@ -88,13 +88,13 @@
 export const requiresSinglePart = (spec: JobSpec): boolean =>
   spec.kind === "gang" || spec.oneZone || spec.spread || (spec.match?.atOnce ?? null) !== null;
 
-export function isHeader(value: unknown): value is JobHeader {
+export function isJobHeader(value: unknown): value is JobHeader {
   return typeof value === "object" && value !== null && "status" in value && "owners" in value;
 }
 
 /** Why a value is not a valid header, or null. The type guard above only checks that it is a header. */
 export function headerError(value: unknown): string | null {
-  if (!isHeader(value)) return "not a job header";
+  if (!isJobHeader(value)) return "not a job header";
   const { status, owners, tasks, chunkSize, spec } = value;
   if (status !== "open" && status !== "done" && status !== "cancelled")
     return "status is not open, done or cancelled";
--- a/src/lab/configuration-changer.ts
+++ b/src/lab/configuration-changer.ts
@@ -4,7 +4,11 @@
  */
 import { randomUUID } from "node:crypto";
 import { type Clock, sleep } from "../clock.js";
-import { ConfigurationClient, type ConfiguredTeam, Overtaken } from "../configuration/index.js";
+import {
+  ConfigurationClient,
+  type ConfiguredTeam,
+  RevisionConflict,
+} from "../configuration/index.js";
 import type { HttpClient } from "../http/client.js";
 import type { Team } from "../settings/settings.js";
 import { type ConfigurationDelay, sharedNow } from "./messages.js";
@@ -54,7 +58,7 @@
   #recordFailure(error: unknown): void {
     this.failures.push((error as Error).message);
     // An earlier change whose answer was lost has been applied: continue from its revision.
-    if (error instanceof Overtaken) this.#baseRevision = error.revision;
+    if (error instanceof RevisionConflict) this.#baseRevision = error.revision;
   }
 
   async #changeTeam(): Promise<void> {
--- a/src/lab/scenario.ts
+++ b/src/lab/scenario.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from "node:fs";
 import { parse, TomlError } from "smol-toml";
 import { z } from "zod";
-import { sentenceOf } from "../errors.js";
+import { describeError } from "../errors.js";
 import { PRIORITIES } from "../wire/jobs.js";
 
 /** Error in a scenario file or in `--set`: one line with file, field and reason. */
@@ -242,7 +242,7 @@
   try {
     text = readFileSync(file, "utf8");
   } catch (error) {
-    throw new ScenarioError(`${file}: ${sentenceOf(error)}`);
+    throw new ScenarioError(`${file}: ${describeError(error)}`);
   }
   return parseScenario(text, file, settings);
 }
--- a/src/local/state-server.ts
+++ b/src/local/state-server.ts
@@ -149,7 +149,7 @@
         return { status: 200, body: { ledgerRev: this.state.revision, log: events } };
       }
       // Watches that are open when an outage starts stay open through it.
-      await this.state.changed(prefix, Math.max(20, Math.min(remainingMs, 1000)));
+      await this.state.waitForChange(prefix, Math.max(20, Math.min(remainingMs, 1000)));
     }
   }
 
--- a/src/local/state.ts
+++ b/src/local/state.ts
@@ -197,7 +197,7 @@
   }
 
   /** Resolves at the next change of any key, or after `waitMs`. */
-  changed(prefix: string, waitMs: number): Promise<void> {
+  waitForChange(prefix: string, waitMs: number): Promise<void> {
     return new Promise((wake) => {
       const timer = this.clock.after(waitMs, wake);
       this.#watchers.push({
--- a/src/market/capacity-plan.ts
+++ b/src/market/capacity-plan.ts
@@ -1,5 +1,5 @@
 import type { Window } from "./calendar.js";
-import type { SpareRoom } from "./clearing.js";
+import type { SpareCapacity } from "./clearing.js";
 import type { Grant } from "./records.js";
 
 /** Free and used capacity of one zone, in CPUs. */
@@ -114,10 +114,10 @@
 
 /** Free capacity minus what is granted and not in use, so that it is not sold a second time. */
 export function excludeUnusedGrants(
-  rooms: readonly SpareRoom[],
+  rooms: readonly SpareCapacity[],
   grants: Iterable<Grant>,
   usedCpus: (guest: string, part: number) => number,
-): SpareRoom[] {
+): SpareCapacity[] {
   const remaining = rooms.map((room) => ({ ...room }));
   const uncoveredUse = new Map<string, number>();
   for (const grant of grants) {
--- a/src/market/clearing.ts
+++ b/src/market/clearing.ts
@@ -3,7 +3,7 @@
 import { type DrawEntry, tieBreakOrder } from "./tie-break.js";
 
 /** The fields of a bid that clearing needs. */
-export interface Asking extends DrawEntry {
+export interface ClearingBid extends DrawEntry {
   guest: string;
   slot: Slot;
   /** Slots requested and not granted yet. */
@@ -14,7 +14,7 @@
 }
 
 /** Free resources of each of `count` machines that have the same ones free, in one part. */
-export interface SpareRoom extends Slot {
+export interface SpareCapacity extends Slot {
   zone: string;
   part: number;
   count: number;
@@ -24,18 +24,18 @@
   instant: number;
   /** The longest that grants last, milliseconds. */
   lengthMs: number;
-  bids: readonly Asking[];
-  rooms: readonly SpareRoom[];
+  bids: readonly ClearingBid[];
+  spareCapacity: readonly SpareCapacity[];
   /** By zone, the CPUs that may be sold. */
   sellable: ReadonlyMap<string, number>;
   /** By guest: resources that it may still use, and how much more it may owe, micro-units. */
   guests: ReadonlyMap<string, { cpus: number; gpus: number; credit: number }>;
   /** How many cores a GPU and a GB of memory count as: the cores that machines have for each. */
-  worth: { gpus: number; memGb: number };
+  coreEquivalents: { gpus: number; memGb: number };
   /** The minimum price of a core-hour, micro-units. */
-  leastMicro: number;
+  minPriceMicro: number;
   /** Limit on winning bids: the record of a cleared round must fit the store's value size. */
-  mostWinners: number;
+  maxWinners: number;
 }
 
 export interface SoldSlots {
@@ -70,7 +70,7 @@
 }
 
 interface RankedBid {
-  bid: Asking;
+  bid: ClearingBid;
   size: number;
 }
 
@@ -100,11 +100,14 @@
    */
   readonly #lastUsedByShape = new Map<string, CapacityClass>();
 
-  constructor(rooms: readonly SpareRoom[], zone: string) {
+  constructor(rooms: readonly SpareCapacity[], zone: string) {
     for (const room of rooms) if (room.zone === zone) this.#add(room, room.count);
   }
 
-  #add({ zone, part, cpus, gpus, memGb }: Omit<SpareRoom, "count">, count: number): CapacityClass {
+  #add(
+    { zone, part, cpus, gpus, memGb }: Omit<SpareCapacity, "count">,
+    count: number,
+  ): CapacityClass {
     const key = `${part}/${cpus.toFixed(3)}/${gpus.toFixed(3)}/${memGb.toFixed(3)}`;
     let known = this.#classes.get(key);
     if (known === undefined) {
@@ -153,7 +156,7 @@
 }
 
 /** Sorts bids by price per core, highest first; a tie-break draw orders equal ones. */
-function rankBids({ bids, worth, instant }: ClearingInput): RankedBid[] {
+function rankBids({ bids, coreEquivalents: worth, instant }: ClearingInput): RankedBid[] {
   const ranked = bids
     .map((bid) => ({ bid, size: slotSize(bid.slot, worth) }))
     .sort(
@@ -196,8 +199,8 @@
  * placed in the zone with the fewest granted slots. Slots are moved afterwards so that no zone holds
  * more than half of them, rounded up, as long as another zone has capacity.
  */
-export function clear(input: ClearingInput): ClearingResult {
-  const { rooms, guests, lengthMs, leastMicro } = input;
+export function clearRound(input: ClearingInput): ClearingResult {
+  const { spareCapacity: rooms, guests, lengthMs, minPriceMicro: leastMicro } = input;
   const zones = [...new Set(rooms.map(({ zone }) => zone))].sort();
   const free = new Map(zones.map((zone) => [zone, new ZoneCapacity(rooms, zone)]));
   const unsold = new Map(zones.map((zone) => [zone, input.sellable.get(zone) ?? 0]));
@@ -224,7 +227,7 @@
     const shape = `${shapeKey(slot)}/${bid.zone ?? ""}`;
     const maxCost = costOf(bid.most, 1, lengthMs).micro + 1;
     let lacksCapacity =
-      shapesWithoutCapacity.has(shape) || (winners.size >= input.mostWinners && bid.want > 0);
+      shapesWithoutCapacity.has(shape) || (winners.size >= input.maxWinners && bid.want > 0);
     for (let n = 0; n < bid.want && !lacksCapacity; n++) {
       // Credit is checked with the bid's own maximum, as the price is not known yet.
       if (
--- a/src/market/index.ts
+++ b/src/market/index.ts
@@ -9,7 +9,7 @@
   controllersWithoutPackage,
   type Extension,
 } from "../extension/index.js";
-import type { PackageDoor } from "../settings/package-definition.js";
+import type { PackageDefinition } from "../settings/package-definition.js";
 import { MarketApi } from "./api.js";
 import { MarketLeader } from "./leader.js";
 import { MarketState } from "./market-state.js";
@@ -18,12 +18,12 @@
 
 export { type Hours, type Window, windowsIn } from "./calendar.js";
 export {
-  type Asking,
+  type ClearingBid as Asking,
   type ClearingInput,
   type ClearingResult,
-  clear,
+  clearRound as clear,
   type SoldSlots,
-  type SpareRoom,
+  type SpareCapacity as SpareRoom,
 } from "./clearing.js";
 export { type AccountView, type BidView, MarketClient, type RoundsView } from "./client.js";
 export { marketCommands } from "./commands.js";
@@ -79,9 +79,9 @@
   }
 }
 
-export const door: PackageDoor = {
+export const door: PackageDefinition = {
   schema,
-  open: (raw, settings, refuse) => {
+  createExtension: (raw, settings, refuse) => {
     const { workers, zones } = settings.params;
     return new MarketExtension(
       readSettings(raw, { reportS: workers.report_s, leaseS: workers.lease_s, zones }, refuse),
--- a/src/market/rounds.ts
+++ b/src/market/rounds.ts
@@ -1,6 +1,6 @@
 import type { Change } from "../state/store.js";
 import { excludeUnusedGrants, type ZonePlan } from "./capacity-plan.js";
-import { type Asking, type ClearingResult, clear } from "./clearing.js";
+import { type ClearingBid, type ClearingResult, clearRound } from "./clearing.js";
 import type { GrantTermination } from "./grant-termination.js";
 import type { LeaderContext } from "./leader-context.js";
 import type { Versioned } from "./market-state.js";
@@ -61,13 +61,13 @@
   }
 
   /** The bids in a round: accepted by its instant, and stored before it was closed. */
-  #eligibleBids(round: Versioned<Round>, wall: number): Asking[] {
+  #eligibleBids(round: Versioned<Round>, wall: number): ClearingBid[] {
     const { instant } = round.value;
     const slotsHeld = new Map<string, number>();
     for (const { value } of this.context.marketState.grants.values()) {
       slotsHeld.set(value.bid, (slotsHeld.get(value.bid) ?? 0) + value.slots);
     }
-    const eligible: Asking[] = [];
+    const eligible: ClearingBid[] = [];
     for (const [name, { value, version }] of this.context.marketState.bids) {
       if (value.withdrawn !== undefined || value.at > instant || version > round.version) continue;
       if (value.from > wall || value.until <= wall) continue;
@@ -140,16 +140,16 @@
     let result: ClearingResult;
     let next: Round;
     do {
-      result = clear({
+      result = clearRound({
         instant,
         lengthMs: maxGrantMs,
         bids,
-        rooms,
+        spareCapacity: rooms,
         sellable,
         guests,
-        worth,
-        leastMicro: minPriceMicro,
-        mostWinners,
+        coreEquivalents: worth,
+        minPriceMicro: minPriceMicro,
+        maxWinners: mostWinners,
       });
       next = { instant, phase: "cleared", price: result.price, grants: [] };
       for (const [n, sold] of result.sold.entries()) {
--- a/src/market/settings.ts
+++ b/src/market/settings.ts
@@ -1,5 +1,5 @@
 import type { Amounts } from "../fair/share.js";
-import type { PackageSchema, Refuse } from "../settings/tuning.js";
+import type { PackageSchema, RejectSettings } from "../settings/tuning.js";
 import { type Hours, validateHours } from "./calendar.js";
 import { MICRO_PER_UNIT, toMicro } from "./money.js";
 
@@ -114,7 +114,7 @@
 export function readSettings(
   given: unknown,
   { reportS, leaseS, zones }: { reportS: number; leaseS: number; zones: readonly string[] },
-  refuse: Refuse,
+  refuse: RejectSettings,
 ): MarketSettings {
   const raw = given as RawSettings;
   const number = (
--- a/src/market/zones.ts
+++ b/src/market/zones.ts
@@ -1,13 +1,13 @@
 import type { Core } from "../extension/index.js";
 import type { ZoneView } from "./capacity-plan.js";
-import type { SpareRoom } from "./clearing.js";
+import type { SpareCapacity } from "./clearing.js";
 
 /**
  * Capacity of all zones from the parts' summaries, with guests and own teams counted separately.
  */
 export interface ClusterCapacity {
   zones: Map<string, ZoneView>;
-  rooms: SpareRoom[];
+  rooms: SpareCapacity[];
   /** CPUs that a guest's tasks use in a part. */
   usedCpus(guest: string, part: number): number;
   /** Parts without a summary that lists free capacity: their owner has not enabled the market. */
@@ -20,7 +20,7 @@
  */
 export function clusterCapacityOf(core: Core, guests: ReadonlySet<string>): ClusterCapacity {
   const zones = new Map<string, ZoneView>();
-  const rooms: SpareRoom[] = [];
+  const rooms: SpareCapacity[] = [];
   const unknownParts: number[] = [];
   for (let part = 0; part < core.layout.parts; part++) {
     const { zone } = core.layout.home(part);
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -1,4 +1,4 @@
-import { type Clock, DRIFT, sleep } from "../clock.js";
+import { type Clock, MAX_CLOCK_DRIFT_RATIO, sleep } from "../clock.js";
 import type { Log } from "../log.js";
 import { keys } from "../state/keys.js";
 import type { Mirror } from "../state/mirror.js";
@@ -215,7 +215,7 @@
         throw error;
       }
     }
-    this.#validUntil = sentAt + this.ttlMs * (1 - DRIFT);
+    this.#validUntil = sentAt + this.ttlMs * (1 - MAX_CLOCK_DRIFT_RATIO);
     await this.#publishPresence();
   }
 
--- a/src/part/allowances.ts
+++ b/src/part/allowances.ts
@@ -7,7 +7,7 @@
 import type { PartContext } from "./context.js";
 import type { Job } from "./job.js";
 import type { Ledger } from "./ledger.js";
-import type { Pass } from "./placement.js";
+import type { PlacementPass } from "./placement.js";
 import type { Quota } from "./quota.js";
 import type { FreeCapacity } from "./summary.js";
 import { isUsable } from "./usable-machine.js";
@@ -32,7 +32,7 @@
  * least work first, by name among equals. Tasks that are being stopped already do not count as
  * remaining; with `withoutGrace`, those that still have time to save do. A pure function.
  */
-export function leaving(
+export function selectTasksToStop(
   running: readonly RunningTask[],
   limit: Amounts,
   withoutGrace: boolean,
@@ -67,7 +67,7 @@
 }
 
 /** Stops tasks beyond allowances: above `softLimit` with time to save, above `hardLimit` at once. */
-export function withdrawAllowances(
+export function stopTasksOverAllowances(
   policy: PlacementPolicy,
   ctx: PartContext,
   ledger: Ledger,
@@ -96,9 +96,9 @@
         }
       }
     }
-    for (const { live } of leaving(running, allowance.hardLimit, true))
+    for (const { live } of selectTasksToStop(running, allowance.hardLimit, true))
       workers.stop(live, 0, "ended");
-    for (const { live } of leaving(running, allowance.softLimit, false)) {
+    for (const { live } of selectTasksToStop(running, allowance.softLimit, false)) {
       const { checkpointS, saveS } = live.chunk.spec;
       workers.stop(live, checkpointS > 0 ? saveS + ctx.reportMs / 1000 : 0, "ends");
     }
@@ -109,11 +109,11 @@
  * CPUs of waiting tasks that lack only free resources, at most what is left of their teams' slices:
  * tasks beyond a slice would wait in any case.
  */
-export function starvedOf(
+export function starvedCpusOf(
   blocked: readonly Job[],
   quota: Quota,
   { rules, places }: { rules: PlacementPolicy; places: PlacementConstraints },
-  { machines, types }: Pick<Pass, "machines" | "types">,
+  { machines, types }: Pick<PlacementPass, "machines" | "types">,
 ): number {
   // A task that no machine here could run is not counted: ending guests' grants would not help it.
   const couldRunHere = (spec: JobSpec): boolean =>
@@ -142,7 +142,7 @@
   const types = ctx.types();
   for (const machine of machines) {
     const type = types.get(machine.type);
-    if (type === undefined || !isUsable(machine, ctx) || machine.reserved.size > 0) continue;
+    if (type === undefined || !isUsable(machine, ctx) || machine.reservations.size > 0) continue;
     const free = machine.freeResources(type);
     const [cpus, gpus, memGb] = [roundDown(free.cpus), roundDown(free.gpus), roundDown(free.memGb)];
     if (cpus <= 0 && gpus <= 0) continue;
--- a/src/part/batch-builder.ts
+++ b/src/part/batch-builder.ts
@@ -119,7 +119,7 @@
     // A record that fails validation is left out; all others are written.
     const isInvalid = (key: string, value: unknown): boolean =>
       store.writable.fault(key, value) !== null;
-    for (const change of this.quota.changes()) {
+    for (const change of this.quota.sliceChanges()) {
       if (!canAdd(Math.floor(ops / 2)) || batch.slices.length >= maxSlices) break;
       if (isInvalid(change.key, change.record)) continue;
       putRecord(change.key, change.version, change.record);
@@ -146,7 +146,7 @@
       const closed = !job.open;
       for (const chunk of [...job.chunks.values()]) {
         const chunkEnds = chunk.complete || (closed && chunk.allocations.size === 0);
-        if (chunkEnds || chunk.allocations.size > 0) chunk.movingTo = null;
+        if (chunkEnds || chunk.allocations.size > 0) chunk.handoverTarget = null;
         if (chunkEnds && closed && chunk.page === null && chunk.handoverVersion === 0) {
           this.ledger.drop(chunk); // Nothing of it was ever stored.
           continue;
@@ -160,7 +160,8 @@
           // It can leave only once it fits one page again.
           for (const number of [chunk.page!, ...chunk.extraPages]) spanned.add(number);
           if (chunkEnds || chunk.savedVersion < chunk.version) multiPageChunks.push(chunk);
-        } else if (mayLeave && (chunkEnds || chunk.movingTo !== null)) leaving.push({ job, chunk });
+        } else if (mayLeave && (chunkEnds || chunk.handoverTarget !== null))
+          leaving.push({ job, chunk });
         else if (chunk.savedVersion < chunk.version) toSave(chunk);
       }
     }
@@ -174,7 +175,7 @@
         if (chunk.savedVersion < chunk.version) toSave(chunk);
     }
     for (const { job, chunk } of leaving) {
-      const { movingTo } = chunk;
+      const { handoverTarget: movingTo } = chunk;
       const writesHandover = movingTo !== null && chunk.attempts > 0;
       const writesHeader = movingTo !== null || job.open;
       // In a page that is left as it is, the state of a finished chunk has no effect any more.
@@ -387,7 +388,7 @@
 }
 
 /** The header after a chunk is finished, or is handed over to the part that it moves to. */
-function leavingHeader(header: JobHeader, { index, movingTo }: Chunk): JobHeader {
+function leavingHeader(header: JobHeader, { index, handoverTarget: movingTo }: Chunk): JobHeader {
   const owner = movingTo === null ? FINISHED : partChar(movingTo);
   const owners = withOwner(header.owners, index, owner);
   return { ...header, owners, moves: header.moves + (movingTo === null ? 0 : 1) };
--- a/src/part/cancelled-job-cleanup.ts
+++ b/src/part/cancelled-job-cleanup.ts
@@ -1,5 +1,5 @@
 import type { JobHeader } from "../jobs/job-header.js";
-import { isHeader, partChar, withPartReleased } from "../jobs/job-header.js";
+import { isJobHeader, partChar, withPartReleased } from "../jobs/job-header.js";
 import { keys } from "../state/keys.js";
 import { schemaOf } from "../state/schema.js";
 import type { PartContext } from "./context.js";
@@ -47,7 +47,7 @@
       if (this.ledger.jobs.has(id) || this.isLoading(id)) continue;
       const key = keys.job(id);
       const row = this.ctx.mirror.rows.get(key);
-      const header = row !== undefined && isHeader(row.value) ? row.value : null;
+      const header = row !== undefined && isJobHeader(row.value) ? row.value : null;
       if (header === null || !header.owners.includes(partChar(this.ctx.index))) {
         this.#pending.delete(id);
         continue;
--- a/src/part/committer.ts
+++ b/src/part/committer.ts
@@ -78,7 +78,7 @@
     if (
       changeCount === this.#cleanAtChangeCount &&
       !canWriteDeferred &&
-      this.quota.changes().length === 0
+      this.quota.sliceChanges().length === 0
     )
       return true;
     this.#batchBuilder.hasDeferred = false;
@@ -99,7 +99,7 @@
    * told of them.
    */
   #withdrawUncommitted(): void {
-    const teams = this.quota.beyond();
+    const teams = this.quota.teamsOverLimit();
     if (teams.size === 0) return;
     for (const { spec, chunks } of this.ledger.jobs.values()) {
       if (!teams.has(spec.team)) continue;
@@ -222,7 +222,7 @@
     this.ledger.changeCount++;
     const { index } = this.ctx;
     if (revision === null) {
-      for (const { chunk, page } of batch.saves) if (page === null) chunk.movingTo = null;
+      for (const { chunk, page } of batch.saves) if (page === null) chunk.handoverTarget = null;
       // Only this owner writes these keys, so the versions read are from its own writes.
       const versions = new Map(rows.map(({ key, version }) => [key, version]));
       for (const key of missing) versions.set(key, 0);
@@ -251,6 +251,6 @@
       chunk.savedVersion = version;
       chunk.handoverVersion = 0;
     }
-    for (const change of batch.slices) this.quota.committed(change);
+    for (const change of batch.slices) this.quota.onCommitted(change);
   }
 }
--- a/src/part/context.ts
+++ b/src/part/context.ts
@@ -1,11 +1,11 @@
 import type { Clock } from "../clock.js";
-import type { DecidingBy } from "../configuration/index.js";
+import type { ConfigurationInForce } from "../configuration/index.js";
 import type { PlacementPolicy } from "../extension/index.js";
 import type { Amounts, ShareTree } from "../fair/share.js";
 import type { Targets } from "../jobs/due-time.js";
 import type { Log } from "../log.js";
 import type { Metrics } from "../metrics.js";
-import type { Pipelines } from "../pipeline/index.js";
+import type { DependencyTracker } from "../pipeline/index.js";
 import type { Mirror } from "../state/mirror.js";
 import type { Condition, Store } from "../state/store.js";
 import type { MachineType } from "../wire/cloud.js";
@@ -47,7 +47,7 @@
   /** The teams' limits under the configuration revision in force in this controller. */
   readonly limits: ReadonlyMap<string, Amounts>;
   /** The configuration revision by which this controller decides. */
-  readonly configuration: DecidingBy;
+  readonly configuration: ConfigurationInForce;
   /** Whether a team of the platform has no guarantee: everything that it runs is lent. */
   isBorrower(team: string): boolean;
   /** Placement policy of an optional package. */
@@ -66,7 +66,7 @@
   /** Whether all controllers that are present read the current record format. */
   allReadCurrentFormat(): boolean;
   /** Dependencies between jobs. */
-  pipelines: Pipelines;
+  pipelines: DependencyTracker;
   /** Sends commands directly to a worker; its reports show whether they arrived. */
   sendCommands(address: string, session: number, commands: wire.Command[]): void;
   /** Sends this part's summary to all controllers, this one included. */
--- a/src/part/inspect.ts
+++ b/src/part/inspect.ts
@@ -22,7 +22,7 @@
 }
 
 /** What to inspect: one job, or jobs within a guarantee with nothing placed for `stuckMs`. */
-export type Inspected = { id: string } | { stuckMs: number };
+export type InspectionQuery = { id: string } | { stuckMs: number };
 
 /** What the owner of a part knows of one job. Durations in seconds, amounts in CPUs. */
 export interface JobInspection {
@@ -85,7 +85,7 @@
     readonly priorityFloors: () => ReadonlyMap<string, number>,
   ) {}
 
-  part(which: Inspected): PartInspection {
+  part(which: InspectionQuery): PartInspection {
     const { index, token, store } = this.ctx;
     const jobs = "id" in which ? this.#jobById(which.id) : this.#stuckJobs(which.stuckMs);
     return {
@@ -122,7 +122,8 @@
       counts.all++;
       if (machine.unreachableSince !== null) counts.deaf++;
       else if (now - machine.lastSeen >= 3 * ctx.reportMs) counts.silent++;
-      if (machine.retired !== null || machine.noticeS !== null) counts.leaving++;
+      if (machine.retirementReason !== null || machine.terminationNoticeS !== null)
+        counts.leaving++;
       if (!isUsable(machine, ctx)) continue;
       counts.usable++;
       if (job === null || !this.#allows(job, machine)) continue;
@@ -158,7 +159,8 @@
     const matcher = ctx.constraints.matcher;
     const pending = job.pending;
     let reserved = 0;
-    for (const machine of this.ledger.machines.values()) if (machine.reserved.has(id)) reserved++;
+    for (const machine of this.ledger.machines.values())
+      if (machine.reservations.has(id)) reserved++;
     return {
       id,
       team: spec.team,
@@ -174,9 +176,9 @@
       guaranteed: ctx.guaranteed().has(id),
       failures: job.failures,
       pauseS: seconds(Math.max(0, job.notBefore - now)),
-      awaits: ctx.pipelines.waitsFor(id).slice(0, 20),
+      awaits: ctx.pipelines.pendingDependencies(id).slice(0, 20),
       expectedS: seconds(ctx.pipelines.expectedMs(id)),
-      dueS: Number.isFinite(job.due) ? seconds(job.due - ctx.clock.wall()) : null,
+      dueS: Number.isFinite(job.dueAt) ? seconds(job.dueAt - ctx.clock.wall()) : null,
       idle: ctx.constraints.cannotStart(id, spec),
       held: spec.match === undefined ? null : (matcher?.holdReason(id) ?? null),
       fitsQuota: spec.cpus <= unusedCpus + 1e-6,
--- a/src/part/job.ts
+++ b/src/part/job.ts
@@ -1,7 +1,7 @@
 import type { Chunk } from "../jobs/chunk.js";
 import { dueTime, type Targets } from "../jobs/due-time.js";
 import type { JobHeader } from "../jobs/job-header.js";
-import { type Pipelines, placedSpec } from "../pipeline/index.js";
+import { type DependencyTracker, placedSpec } from "../pipeline/index.js";
 import { keys } from "../state/keys.js";
 import type { Mirror } from "../state/mirror.js";
 import type { JobSpec } from "../wire/jobs.js";
@@ -13,7 +13,7 @@
   /** A copy, since a pipeline raises the priority of jobs that others depend on. */
   readonly spec: JobSpec;
   /** When it should be complete, wall clock, milliseconds. */
-  due: number;
+  dueAt: number;
   /** Consecutive failures of its tasks, on any machine. */
   failures = 0;
   notBefore = 0;
@@ -34,7 +34,7 @@
     this.#lastHeader = header;
     this.spec = placedSpec(spec);
     this.acceptedAt = header.at;
-    this.due = dueTime(spec, this.acceptedAt, targets);
+    this.dueAt = dueTime(spec, this.acceptedAt, targets);
   }
 
   /**
@@ -53,12 +53,12 @@
   }
 
   /** Updates the priority and the due time from its pipeline. */
-  updateFromPipelines(pipelines: Pipelines, targets: Targets): void {
+  updateFromPipelines(pipelines: DependencyTracker, targets: Targets): void {
     const ownSpec = this.header.spec;
     if (ownSpec === undefined) return;
     this.spec.rank = pipelines.rank(this.id, ownSpec.rank);
     const since = pipelines.since(this.id, this.acceptedAt);
-    this.due = pipelines.due(this.id, dueTime(ownSpec, this.acceptedAt, targets, since));
+    this.dueAt = pipelines.due(this.id, dueTime(ownSpec, this.acceptedAt, targets, since));
   }
 
   get open(): boolean {
@@ -77,7 +77,7 @@
   }
 
   /** Whether its tasks may be placed and started, as far as is known here. */
-  get wanted(): boolean {
+  get mayStartTasks(): boolean {
     if (!this.open) return false;
     // The report was only a hint: a newer header decides.
     return (
@@ -96,7 +96,8 @@
   /** Those that may be placed here: without the chunks being handed over to another part. */
   get pending(): number {
     let count = 0;
-    for (const chunk of this.chunks.values()) if (chunk.movingTo === null) count += chunk.pending;
+    for (const chunk of this.chunks.values())
+      if (chunk.handoverTarget === null) count += chunk.pending;
     return this.#limitAtOnce(count);
   }
 
@@ -132,7 +133,7 @@
  * rule one huge job used all resources of its team while hundreds of small ones had not begun
  * (inc-8d22), or a steady stream of small jobs kept a huge one from starting.
  */
-export function neglectedOf(jobs: Iterable<Job>, now: number, leaseMs: number): Set<string> {
+export function longUnstartedJobs(jobs: Iterable<Job>, now: number, leaseMs: number): Set<string> {
   const longUnstarted = new Set<string>();
   for (const job of jobs) {
     if (now - job.waitingSince > leaseMs && !job.wasEverPlaced) longUnstarted.add(job.id);
@@ -145,7 +146,7 @@
  * age. A job that is late already would be first by due time, but comes after them: it gains nothing
  * by making others late.
  */
-export function byUrgency(
+export function compareWithinTeam(
   a: Job,
   b: Job,
   onTime: ReadonlySet<string>,
@@ -157,9 +158,9 @@
   const onTimeA = onTime.has(a.id);
   if (onTimeA !== onTime.has(b.id)) return onTimeA ? -1 : 1;
   if (a.spec.rank !== b.spec.rank) return b.spec.rank - a.spec.rank;
-  return onTimeA && a.due !== b.due ? a.due - b.due : a.acceptedAt - b.acceptedAt;
+  return onTimeA && a.dueAt !== b.dueAt ? a.dueAt - b.dueAt : a.acceptedAt - b.acceptedAt;
 }
 
 /** Effective priority: that of the job if it can be on time, else the lowest. */
-export const rankOf = (job: Job, onTime: ReadonlySet<string>): number =>
+export const effectivePriority = (job: Job, onTime: ReadonlySet<string>): number =>
   onTime.has(job.id) ? job.spec.rank : 0;
--- a/src/part/ledger.ts
+++ b/src/part/ledger.ts
@@ -5,7 +5,7 @@
 import { type JobSpec, PRIORITIES } from "../wire/jobs.js";
 import { Machine } from "../workers/machine.js";
 import type { PartContext } from "./context.js";
-import { Job, rankOf } from "./job.js";
+import { effectivePriority, Job } from "./job.js";
 
 export interface FoundTask {
   job: Job;
@@ -18,13 +18,13 @@
   cpus: number[];
   gpus: number[];
   /** CPUs of the largest waiting task. */
-  largest: number;
+  largestTaskCpus: number;
 }
 
 export const noDemand = (): Demand => ({
   cpus: PRIORITIES.map(() => 0),
   gpus: PRIORITIES.map(() => 0),
-  largest: 0,
+  largestTaskCpus: 0,
 });
 
 export const ZERO: Amounts = { cpus: 0, gpus: 0 };
@@ -55,7 +55,7 @@
   }
 
   /** Whether a chunk's state still fits a page with one more allocation on a machine. */
-  holds(chunk: Chunk, machine: string): boolean {
+  fitsPage(chunk: Chunk, machine: string): boolean {
     const { allocations } = chunk;
     if (allocations.size < this.maxAllocationsPerChunk) return true;
     const pageBytes = maxPageBytes(this.ctx.store.limits);
@@ -74,7 +74,7 @@
   }
 
   /** Chunks of a job that its header gives to this part and that are not loaded yet. */
-  missing(id: string, header: JobHeader): { job: Job; chunks: number[] } | null {
+  missingChunks(id: string, header: JobHeader): { job: Job; chunks: number[] } | null {
     if (header.spec === undefined) return null;
     const ownerChar = partChar(this.ctx.index);
     if (!header.owners.includes(ownerChar)) return null;
@@ -99,7 +99,7 @@
       if (job === undefined) continue;
       job.updateFromPipelines(pipelines, targets);
       // Waiting for resources only begins once the jobs that it depends on are finished.
-      if (pipelines.waits(id)) job.waitingSince = clock.now();
+      if (pipelines.isBlocked(id)) job.waitingSince = clock.now();
     }
   }
 
@@ -154,8 +154,8 @@
     machine.allocations.set(allocation.task, allocation);
     if (job.spec.image !== null) machine.images.add(job.spec.image);
     machine.invalidateFreeResources();
-    const reservation = machine.reserved.get(job.id);
-    if (reservation !== undefined && --reservation.tasks === 0) machine.reserved.delete(job.id);
+    const reservation = machine.reservations.get(job.id);
+    if (reservation !== undefined && --reservation.tasks === 0) machine.reservations.delete(job.id);
     this.#charge(job.spec, 1);
     // The job makes progress: waiting starts anew for its remaining tasks.
     job.waitingSince = now;
@@ -199,7 +199,7 @@
     for (const job of this.jobs.values()) {
       const { spec, waiting, chunks } = job;
       const open = job.open && !this.ctx.constraints.cannotStart(job.id, spec);
-      const rank = rankOf(job, onTime);
+      const rank = effectivePriority(job, onTime);
       let count = open ? waiting : 0;
       for (const chunk of chunks.values()) count += chunk.allocations.size;
       let sum = sums.get(spec.team);
@@ -209,7 +209,7 @@
       }
       sum.cpus[rank]! += count * spec.cpus;
       sum.gpus[rank]! += count * spec.gpus;
-      if (open && waiting > 0) sum.largest = Math.max(sum.largest, spec.cpus);
+      if (open && waiting > 0) sum.largestTaskCpus = Math.max(sum.largestTaskCpus, spec.cpus);
     }
     return sums;
   }
--- a/src/part/lending.ts
+++ b/src/part/lending.ts
@@ -1,7 +1,7 @@
 import type { JobSpec } from "../wire/jobs.js";
 import type { PartContext } from "./context.js";
 import type { Ledger } from "./ledger.js";
-import type { Pass } from "./placement.js";
+import type { PlacementPass } from "./placement.js";
 
 /** Fraction of a part's CPUs that is not lent: about what arrives within some seconds at busy times. */
 const HEADROOM_FRACTION = 0.1;
@@ -12,7 +12,10 @@
  * which on a busy day is always: of 489 small jobs of a guest, 162 had started after ten minutes
  * (inc-8d22).
  */
-export const borrowerMinimumCpus = (machines: Pass["machines"], types: Pass["types"]): number =>
+export const borrowerMinimumCpus = (
+  machines: PlacementPass["machines"],
+  types: PlacementPass["types"],
+): number =>
   machines.reduce((sum, { type }) => sum + (types.get(type)?.cpus ?? 0), 0) * HEADROOM_FRACTION;
 
 /** CPUs that teams without a guarantee use in this part. */
@@ -46,7 +49,7 @@
    * lacked resources, only the minimum is lent: otherwise tasks stopped for that team would start in
    * the next gap and be stopped again (7,300 of 21,000 starts on a simulated day).
    */
-  lendableCpus({ now, machines, types }: Pass): number {
+  lendableCpus({ now, machines, types }: PlacementPass): number {
     if (this.#lendable === null) {
       const free = machines.reduce(
         (sum, machine) => sum + Math.max(0, machine.freeResourcesIn(types).cpus),
--- a/src/part/orphan-sweep.ts
+++ b/src/part/orphan-sweep.ts
@@ -1,4 +1,4 @@
-import { isHeader, type JobHeader, partChar } from "../jobs/job-header.js";
+import { isJobHeader, type JobHeader, partChar } from "../jobs/job-header.js";
 import { JOB_HEADER_PREFIX } from "../state/keys.js";
 import type { PartContext } from "./context.js";
 
@@ -53,7 +53,7 @@
     const previousOrphanJobs = this.#orphanJobs;
     this.#orphanJobs = new Set();
     for (const [key, { value }] of mirror.rows) {
-      if (!key.startsWith(JOB_HEADER_PREFIX) || !isHeader(value)) continue;
+      if (!key.startsWith(JOB_HEADER_PREFIX) || !isJobHeader(value)) continue;
       const id = key.slice(JOB_HEADER_PREFIX.length);
       const orphans = orphanChunks(id, value, index, this.locate);
       if (orphans.length === 0) continue;
--- a/src/part/part.ts
+++ b/src/part/part.ts
@@ -2,15 +2,15 @@
 import { sleep } from "../clock.js";
 import type { Reply } from "../http/server.js";
 import { chunkName, readPage } from "../jobs/chunk-page.js";
-import { isHeader, type JobHeader, partChar } from "../jobs/job-header.js";
+import { isJobHeader, type JobHeader, partChar } from "../jobs/job-header.js";
 import { JOB_HEADER_PREFIX, keys } from "../state/keys.js";
 import type { Row } from "../state/store.js";
 import type * as wire from "../wire/workers.js";
-import { starvedOf, withdrawAllowances } from "./allowances.js";
+import { starvedCpusOf, stopTasksOverAllowances } from "./allowances.js";
 import { CancelledJobCleanup } from "./cancelled-job-cleanup.js";
 import { type CommitResult, Committer, WATCH_ORDERED_KEYS } from "./committer.js";
 import type { PartContext } from "./context.js";
-import { type Inspected, Inspector, type PartInspection } from "./inspect.js";
+import { type InspectionQuery, Inspector, type PartInspection } from "./inspect.js";
 import type { Job } from "./job.js";
 import { enforceHoldsAndRunLimits } from "./job-holds.js";
 import { Ledger } from "./ledger.js";
@@ -103,7 +103,7 @@
     );
     const storedChunks = readRecords(records, ctx.index, this.#committer, this.#quarantine);
     for (const [key, row] of ctx.mirror.rows) {
-      if (key.startsWith(JOB_HEADER_PREFIX) && isHeader(row.value))
+      if (key.startsWith(JOB_HEADER_PREFIX) && isJobHeader(row.value))
         this.#adoptMissing(key.slice(JOB_HEADER_PREFIX.length), row.value, storedChunks);
     }
     this.#quarantine.finishLoading();
@@ -137,7 +137,7 @@
   }
 
   /** For users and operators: the state here of one job, or of all that make no progress. */
-  inspect(query: Inspected): PartInspection {
+  inspect(query: InspectionQuery): PartInspection {
     return this.#inspector.part(query);
   }
 
@@ -206,7 +206,7 @@
     header: JobHeader,
     storedChunks: Map<string, StoredChunk> | null,
   ): void {
-    const missing = this.#ledger.missing(id, header);
+    const missing = this.#ledger.missingChunks(id, header);
     if (missing === null) return;
     if (header.status === "cancelled") this.#cancelledJobCleanup.add(id);
     const { job, chunks } = missing;
@@ -236,8 +236,8 @@
   #isNotOwnedHere(name: string): boolean {
     const slash = name.lastIndexOf("/");
     const header = this.ctx.mirror.rows.get(keys.job(name.slice(0, slash)))?.value;
-    const owner = isHeader(header) ? header.owners[Number(name.slice(slash + 1))] : undefined;
-    return isHeader(header) && owner !== partChar(this.ctx.index);
+    const owner = isJobHeader(header) ? header.owners[Number(name.slice(slash + 1))] : undefined;
+    return isJobHeader(header) && owner !== partChar(this.ctx.index);
   }
 
   #isAdopted(name: string): boolean {
@@ -317,7 +317,7 @@
     const { policy, constraints } = this.ctx;
     // Allowances expire by the clock, also while the store or other controllers are unreachable: an
     // owner whose lease may have ended may still stop tasks that exceed their team's allowance.
-    if (policy !== null) withdrawAllowances(policy, this.ctx, this.#ledger, this.#workers);
+    if (policy !== null) stopTasksOverAllowances(policy, this.ctx, this.#ledger, this.#workers);
     if (!this.ctx.valid()) {
       this.#workers.sendQueuedCommands();
       return;
@@ -332,7 +332,7 @@
       );
     }
     this.#ledger.updateFromPipelines();
-    this.#quota.begin();
+    this.#quota.beginPass();
     if (this.ctx.reconcilingRestore()) {
       this.#workers.sendQueuedCommands();
       this.#summaryPublisher.run();
@@ -343,7 +343,7 @@
     const pass = beginPass(this.ctx, this.#ledger);
     const blocked = this.#placement.run(pass);
     if (policy !== null)
-      this.#summaryPublisher.starved = starvedOf(
+      this.#summaryPublisher.starvedCpus = starvedCpusOf(
         blocked,
         this.#quota,
         { rules: policy, places: constraints },
@@ -394,6 +394,6 @@
    */
   #adoptReturned(id: string): void {
     const header = this.ctx.mirror.rows.get(keys.job(id))?.value;
-    if (isHeader(header)) this.#adoptMissing(id, header, null);
+    if (isJobHeader(header)) this.#adoptMissing(id, header, null);
   }
 }
--- a/src/part/placement.ts
+++ b/src/part/placement.ts
@@ -13,7 +13,7 @@
 } from "../workers/machine.js";
 import type { PlacementConstraints } from "../workers/placement-constraints.js";
 import type { PartContext } from "./context.js";
-import { byUrgency, type Job, neglectedOf } from "./job.js";
+import { compareWithinTeam, type Job, longUnstartedJobs } from "./job.js";
 import type { Ledger } from "./ledger.js";
 import { Lending } from "./lending.js";
 import type { Quota } from "./quota.js";
@@ -21,7 +21,7 @@
 import { isUsable } from "./usable-machine.js";
 
 /** Input of one placement pass over the waiting jobs. */
-export interface Pass {
+export interface PlacementPass {
   now: number;
   types: ReadonlyMap<string, MachineType>;
   /** Machines that may be given tasks. */
@@ -31,7 +31,7 @@
   guaranteed: ReadonlySet<string>;
 }
 
-export function beginPass(ctx: PartContext, ledger: Ledger): Pass {
+export function beginPass(ctx: PartContext, ledger: Ledger): PlacementPass {
   const tree = ctx.newShareTree();
   for (const [part, summary] of ctx.summaries.all()) {
     if (part === ctx.index) continue;
@@ -70,33 +70,33 @@
   }
 
   /** Places what fits and returns the jobs that still wait, the most urgent first. */
-  run(pass: Pass): Job[] {
+  run(pass: PlacementPass): Job[] {
     const { now, machines, tree, guaranteed } = pass;
     this.#unplaceableShapes.clear();
     this.#lastPlaced = null;
     this.#lending.beginPass();
     const queues = new Map<string, Job[]>();
     for (const job of this.ledger.jobs.values()) {
-      if (job.notBefore > now || !job.wanted || job.pending === 0) continue;
+      if (job.notBefore > now || !job.mayStartTasks || job.pending === 0) continue;
       if (this.ctx.constraints.cannotStart(job.id, job.spec)) continue;
       const queue = queues.get(job.spec.team);
       if (queue === undefined) queues.set(job.spec.team, [job]);
       else queue.push(job);
     }
     for (const machine of machines) {
-      for (const [id, { until }] of machine.reserved) {
+      for (const [id, { until }] of machine.reservations) {
         const job = this.ledger.jobs.get(id);
-        if (until < now || job === undefined || job.pending === 0) machine.reserved.delete(id);
+        if (until < now || job === undefined || job.pending === 0) machine.reservations.delete(id);
       }
     }
     const onTime = this.ctx.onTime();
     const { policy } = this.ctx;
-    const neglected = neglectedOf(this.ledger.jobs.values(), now, this.ctx.leaseMs);
+    const neglected = longUnstartedJobs(this.ledger.jobs.values(), now, this.ctx.leaseMs);
     const sortQueue = (queue: Job[]): void => {
       queue.sort((a, b) => {
         const aGuaranteed = guaranteed.has(a.id);
         return aGuaranteed === guaranteed.has(b.id)
-          ? byUrgency(a, b, onTime, neglected)
+          ? compareWithinTeam(a, b, onTime, neglected)
           : aGuaranteed
             ? -1
             : 1;
@@ -155,13 +155,13 @@
     return blocked;
   }
 
-  #place(job: Job, chunk: Chunk, index: number, machine: Machine, { tree }: Pass): void {
+  #place(job: Job, chunk: Chunk, index: number, machine: Machine, { tree }: PlacementPass): void {
     this.ledger.place(job, chunk, index, machine);
     tree.charge(job.spec.team, job.spec);
   }
 
   /** Places all waiting tasks of a gang, or none. */
-  #placeGang(job: Job, pass: Pass): boolean {
+  #placeGang(job: Job, pass: PlacementPass): boolean {
     // The previous attempt must have ended on all machines before the gang starts again.
     if (job.hasAllocations) return false;
     const hosts = this.#findGangMachines(job, pass);
@@ -176,7 +176,7 @@
   }
 
   /** Finds a machine for every waiting task of a gang, or null when they do not all fit at once. */
-  #findGangMachines(job: Job, pass: Pass): Machine[] | null {
+  #findGangMachines(job: Job, pass: PlacementPass): Machine[] | null {
     const { machines, types } = pass;
     const { spec, pending: count } = job;
     if (count === 0 || !this.quota.fits(spec, count)) return null;
@@ -221,7 +221,7 @@
     return zones;
   }
 
-  #placeOne(job: Job, pass: Pass): boolean {
+  #placeOne(job: Job, pass: PlacementPass): boolean {
     const { spec } = job;
     if (!this.quota.fits(spec)) return false;
     const borrower = this.ctx.isBorrower(spec.team);
@@ -233,7 +233,7 @@
     const machine = this.#lastMachineIfFits(job, pass) ?? this.#bestMachine(job, pass);
     if (machine === null) return false;
     for (const chunk of job.chunks.values()) {
-      if (chunk.movingTo !== null || !this.ledger.holds(chunk, machine.id)) continue;
+      if (chunk.handoverTarget !== null || !this.ledger.fitsPage(chunk, machine.id)) continue;
       const index = chunk.nextPending();
       if (index === null) continue;
       this.#place(job, chunk, index, machine, pass);
@@ -248,7 +248,7 @@
    * The machine that took the job's previous task, if one more fits. It had the lowest cost of its
    * kind and has even fewer free resources now, so no search is needed.
    */
-  #lastMachineIfFits(job: Job, { types }: Pass): Machine | null {
+  #lastMachineIfFits(job: Job, { types }: PlacementPass): Machine | null {
     const { spec } = job;
     if (this.#lastPlaced?.job !== job || spec.oneZone || spec.spread) return null;
     // Where the rank depends on a machine's free resources, all machines must be evaluated again.
@@ -262,7 +262,7 @@
     return fitsResources(available, spec) ? machine : null;
   }
 
-  #bestMachine(job: Job, pass: Pass): Machine | null {
+  #bestMachine(job: Job, pass: PlacementPass): Machine | null {
     const { spec } = job;
     const { machines, guaranteed } = pass;
     const equivalenceKey = this.ctx.constraints.equivalenceKey(spec);
@@ -270,7 +270,7 @@
     const cacheable =
       equivalenceKey !== null && !spec.oneZone && !spec.spread && job.failures === 0;
     if (cacheable && this.#unplaceableShapes.has(shape)) {
-      if (!machines.some(({ reserved }) => reserved.has(job.id))) return null;
+      if (!machines.some(({ reservations: reserved }) => reserved.has(job.id))) return null;
     }
     const best = this.#searchMachines(job, pass, guaranteed.has(job.id));
     if (best === null && cacheable) this.#unplaceableShapes.add(shape);
@@ -280,7 +280,7 @@
   /** The machine that a job with expressions ranks highest; among equals and else, the cheapest. */
   #searchMachines(
     job: Job,
-    { machines, types, now }: Pass,
+    { machines, types, now }: PlacementPass,
     withinGuarantee: boolean,
   ): Machine | null {
     const { spec } = job;
@@ -302,7 +302,7 @@
         const jobRank = rankMachine(machine, available);
         if (jobRank === null) continue;
         // Resources reserved for this job come first: tasks were stopped to free them.
-        const reservedForJob = machine.reserved.size > 0 && machine.reserved.has(job.id);
+        const reservedForJob = machine.reservations.size > 0 && machine.reservations.has(job.id);
         const rank = reservedForJob ? Number.POSITIVE_INFINITY : jobRank;
         if (rank < bestRank) continue;
         if (rank > bestRank) bestCost = Number.POSITIVE_INFINITY;
@@ -332,7 +332,7 @@
     const { image } = job.spec;
     return (
       available.cpus +
-      (machine.reserved.size > 0 && machine.reserved.has(job.id) ? -10_000 : 0) +
+      (machine.reservations.size > 0 && machine.reservations.has(job.id) ? -10_000 : 0) +
       // Start commands are sent in answers to reports, so a job within its guarantee prefers machines
       // whose next report is due soon.
       (withinGuarantee
@@ -347,7 +347,7 @@
 /** Sorts machines by the job's rank, highest first; equal ones keep their order. */
 function sortByRank(
   machines: readonly Machine[],
-  types: Pass["types"],
+  types: PlacementPass["types"],
   rankMachine: ReturnType<PlacementConstraints["rankerFor"]>,
 ): Machine[] {
   return machines
--- a/src/part/preemption.ts
+++ b/src/part/preemption.ts
@@ -17,10 +17,10 @@
   withoutReservations,
 } from "../workers/machine.js";
 import type { PartContext } from "./context.js";
-import { type Job, rankOf } from "./job.js";
+import { effectivePriority, type Job } from "./job.js";
 import type { Ledger } from "./ledger.js";
 import { borrowerMinimumCpus, lentCpus } from "./lending.js";
-import type { Pass } from "./placement.js";
+import type { PlacementPass } from "./placement.js";
 import type { Quota } from "./quota.js";
 import { type QuotaShortage, quotaShortages } from "./quota-shortage.js";
 import type { Workers } from "./workers.js";
@@ -53,7 +53,7 @@
     this.#lastFairPreemptionAt = ctx.clock.now();
   }
 
-  run(blocked: readonly Job[], pass: Pass): void {
+  run(blocked: readonly Job[], pass: PlacementPass): void {
     const { now, machines, guaranteed } = pass;
     // Commands reach a worker once per report, so a more frequent run would find little new.
     if (now - this.#lastRunAt < this.ctx.reportMs / 8) return;
@@ -88,12 +88,12 @@
     for (const job of preemptors) {
       const { spec } = job;
       let { pending } = job;
-      for (const machine of machines) pending -= machine.reserved.get(job.id)?.tasks ?? 0;
+      for (const machine of machines) pending -= machine.reservations.get(job.id)?.tasks ?? 0;
       if (pending <= 0) continue;
       const taskCount = spec.kind === "gang" ? pending : 1;
       if (!this.quota.fits(spec, taskCount)) continue;
       const withinGuarantee = guaranteed.has(job.id);
-      const rank = withinGuarantee ? spec.rank : rankOf(job, onTime);
+      const rank = withinGuarantee ? spec.rank : effectivePriority(job, onTime);
       // Unless within a guarantee, a job that has waited for less than a report interval is here only
       // because preemptible tasks run: no other tasks may be stopped for it yet.
       const waitedBeyondLeaseMs = now - job.waitingSince - this.ctx.leaseMs;
@@ -137,9 +137,9 @@
         }
         for (const machine of plan.hosts) {
           addResources(this.#freeResources.get(machine)!, spec, -1);
-          const reservation = machine.reserved.get(job.id);
+          const reservation = machine.reservations.get(job.id);
           if (reservation !== undefined) reservation.tasks++;
-          else machine.reserved.set(job.id, { tasks: 1, spec, until: now + this.ctx.leaseMs });
+          else machine.reservations.set(job.id, { tasks: 1, spec, until: now + this.ctx.leaseMs });
         }
         pass.tree.charge(spec.team, preemptor.size);
       }
@@ -164,7 +164,7 @@
    * not help, so checkpointing tasks of the same team with a lower priority are stopped: first those
    * that have not started, then those that have run longest, whose start-up cost has paid off.
    */
-  #preemptForQuota(shortages: ReadonlyMap<string, QuotaShortage>, pass: Pass): void {
+  #preemptForQuota(shortages: ReadonlyMap<string, QuotaShortage>, pass: PlacementPass): void {
     const startedAt = ({ tasks }: Candidate): number => {
       const { allocation } = tasks[0]!;
       return allocation.running ? allocation.since : Number.NEGATIVE_INFINITY;
@@ -183,11 +183,11 @@
   }
 
   /** CPUs lent to teams without a guarantee beyond the minimum that these always keep. */
-  #cpusLentBeyondMinimum({ machines, types }: Pass): number {
+  #cpusLentBeyondMinimum({ machines, types }: PlacementPass): number {
     return lentCpus(this) - borrowerMinimumCpus(machines, types);
   }
 
-  #collectCandidates(pass: Pass): void {
+  #collectCandidates(pass: PlacementPass): void {
     const { machines, types, now } = pass;
     const { policy, index } = this.ctx;
     let reclaimableCpus = this.#cpusLentBeyondMinimum(pass);
@@ -241,7 +241,7 @@
   #planOnOneMachine(
     job: Job,
     preemptor: Preemptor,
-    { tree, machines }: Pass,
+    { tree, machines }: PlacementPass,
   ): { hosts: Machine[]; victims: SelectedVictim[] } | null {
     const { spec } = job;
     const canPreemptByTeam = new Map<string, boolean>();
@@ -307,7 +307,7 @@
   }
 
   /** Cost of victims that must be stopped together, in the order of KEP-1714; lower is better. */
-  #cost(victims: readonly SelectedVictim[], tree: Pass["tree"]): number[] {
+  #cost(victims: readonly SelectedVictim[], tree: PlacementPass["tree"]): number[] {
     const greedy = victims.some(({ reason }) => reason === "greedy") ? 1 : 0;
     const notPreemptible = victims.some(({ reason }) => reason !== "yield") ? 1 : 0;
     const notLent = victims.some(({ victim }) => victim.lent !== true) ? 1 : 0;
@@ -326,7 +326,7 @@
   #planOnManyMachines(
     job: Job,
     preemptor: Preemptor,
-    pass: Pass,
+    pass: PlacementPass,
   ): { hosts: Machine[]; victims: SelectedVictim[] } | null {
     const { spec } = job;
     const count = Math.round(preemptor.size.cpus / Math.max(spec.cpus, 1e-9)) || job.pending;
@@ -376,7 +376,7 @@
     candidate: Candidate,
     reason: SelectedVictim["reason"],
     job: Job | null,
-    { tree }: Pass,
+    { tree }: PlacementPass,
   ): void {
     const { id, spec, team, size, tasks } = candidate;
     this.#candidates.delete(id);
--- a/src/part/quota.ts
+++ b/src/part/quota.ts
@@ -117,7 +117,7 @@
    * demand of a job for which there is no machine would withhold its team's limit from all parts that
    * have machines, for as long as it waits.
    */
-  begin(): void {
+  beginPass(): void {
     this.shortages.clear();
     this.#fairSlices.clear();
     this.#shapesWithoutMachine.clear();
@@ -149,7 +149,7 @@
       const use = this.ledger.use.get(team) ?? ZERO;
       const elsewhere = demandElsewhere.get(team) ?? noDemand();
       // Slices are multiples of a task's size: a remainder smaller than a task would stay unused.
-      const taskCpus = own.largest > 0 ? own.largest : 1;
+      const taskCpus = own.largestTaskCpus > 0 ? own.largestTaskCpus : 1;
       this.#fairSlices.set(team, {
         lowerBound: { ...fairSlice, cpus: Math.floor(fairSlice.cpus / taskCpus) * taskCpus },
         upperBound: {
@@ -248,7 +248,7 @@
    * The slices that should change. From now on only the smaller of the old and the new value counts,
    * until it is known which one is stored. A slice is lowered only when another part lacks quota.
    */
-  changes(): SliceChange[] {
+  sliceChanges(): SliceChange[] {
     const changed: SliceChange[] = [];
     for (const [team, limit] of this.ctx.limits) {
       if (!isLimited(limit.cpus) && !isLimited(limit.gpus)) continue;
@@ -302,9 +302,9 @@
   #bounded(wanted: Amounts, own: Amounts, use: Amounts, free: Amounts): Amounts {
     const bound = (resource: keyof Amounts): number => {
       const unassigned = free[resource];
-      if (unassigned < -EPSILON && this.ctx.configuration.revised)
+      if (unassigned < -EPSILON && this.ctx.configuration.hasRevision)
         return Math.min(own[resource], Math.max(use[resource], own[resource] + unassigned));
-      return this.ctx.configuration.current
+      return this.ctx.configuration.isCurrent
         ? wanted[resource]
         : Math.min(wanted[resource], own[resource]);
     };
@@ -312,9 +312,9 @@
   }
 
   /** Teams whose slices add up to more than their limit. */
-  beyond(): ReadonlySet<string> {
+  teamsOverLimit(): ReadonlySet<string> {
     const teams = new Set<string>();
-    if (!this.ctx.configuration.revised) return teams;
+    if (!this.ctx.configuration.hasRevision) return teams;
     for (const [team, limit] of this.ctx.limits)
       if (this.#isOverLimit(team, limit)) teams.add(team);
     return teams;
@@ -322,12 +322,12 @@
 
   /** Whether the slices exceed the limit: only possible when limits have been revised while serving. */
   #isOverLimit(team: string, limit: Amounts): boolean {
-    if (!this.ctx.configuration.revised) return false;
+    if (!this.ctx.configuration.hasRevision) return false;
     const { cpus, gpus } = unassignedAmounts(this.#read(team).record, limit);
     return cpus < -EPSILON || gpus < -EPSILON;
   }
 
-  committed({ team, record }: SliceChange): void {
+  onCommitted({ team, record }: SliceChange): void {
     const limit = this.ctx.limits.get(team);
     if (limit !== undefined)
       this.#slices.set(team, usableSlice(sliceOf(record, this.ctx.index), limit));
--- a/src/part/rebalancing.ts
+++ b/src/part/rebalancing.ts
@@ -4,7 +4,7 @@
 import { type Machine, withoutReservations } from "../workers/machine.js";
 import type { PartContext } from "./context.js";
 import type { Job } from "./job.js";
-import type { Pass } from "./placement.js";
+import type { PlacementPass } from "./placement.js";
 import { type KindCapacity, type Summary, totalCapacity } from "./summary.js";
 
 /** Capacity and free CPUs by kind of machine, as published to other parts. */
@@ -78,7 +78,11 @@
    * were once handed back and forth for minutes between parts that had only spot machines free.
    * Returns whether any chunk is to be handed over.
    */
-  run(blocked: readonly Job[], { machines, types, now }: Pass, waitingCpus: number): boolean {
+  run(
+    blocked: readonly Job[],
+    { machines, types, now }: PlacementPass,
+    waitingCpus: number,
+  ): boolean {
     let anyHandedOver = false;
     const ownKinds = capacityByKind(machines, types);
     const others = this.#others();
@@ -88,7 +92,8 @@
       const allowedParts = spec.zone === null ? null : this.ctx.partsOf(spec.zone);
       const singlePart = requiresSinglePart(spec);
       const waitingChunks = [...job.chunks.values()].filter(
-        (chunk) => chunk.allocations.size === 0 && chunk.pending > 0 && chunk.movingTo === null,
+        (chunk) =>
+          chunk.allocations.size === 0 && chunk.pending > 0 && chunk.handoverTarget === null,
       );
       if (waitingChunks.length === 0 || (singlePart && waitingChunks.length < job.chunks.size))
         continue;
@@ -128,7 +133,7 @@
           }
         }
         if (best === null) continue;
-        for (const chunk of group) chunk.movingTo = best.part;
+        for (const chunk of group) chunk.handoverTarget = best.part;
         anyHandedOver = true;
         best.waiting += cpus;
         best.sent.cpus += cpus;
--- a/src/part/restore-reconciliation.ts
+++ b/src/part/restore-reconciliation.ts
@@ -1,4 +1,4 @@
-import { DRIFT } from "../clock.js";
+import { MAX_CLOCK_DRIFT_RATIO } from "../clock.js";
 import { keys } from "../state/keys.js";
 import { parseRestoreRecord, restoreStateOf } from "../state/restore-state.js";
 import type { Machine } from "../workers/machine.js";
@@ -23,7 +23,8 @@
   lease_s: number;
   cancel_s: number;
 }): number =>
-  (Math.max(0, cancel_s - 1.15 * lease_s) + lease_s * (LEASES_UNTIL_TASKS_STOPPED + 2 * DRIFT)) *
+  (Math.max(0, cancel_s - 1.15 * lease_s) +
+    lease_s * (LEASES_UNTIL_TASKS_STOPPED + 2 * MAX_CLOCK_DRIFT_RATIO)) *
     1000 +
   ANSWER_EXPIRY_MS;
 
--- a/src/part/summary-publisher.ts
+++ b/src/part/summary-publisher.ts
@@ -14,7 +14,7 @@
 /** Publishes a part's summary to the other controllers and to the store, where the leader reads it. */
 export class SummaryPublisher {
   /** CPUs that preemptible teams would have to free so that waiting tasks of others start. */
-  starved = 0;
+  starvedCpus = 0;
   #storedAt = 0;
   #publishedAt = 0;
   #lastPublishedState = "";
@@ -112,7 +112,7 @@
       // A machine may report while no answer reaches it; its lease expires in that case as well.
       const since = Math.min(machine.lastSeen, machine.unreachableSince ?? now);
       const silent = now - since > this.ctx.leaseMs * 1.1;
-      if (silent || (machine.retired !== null && machine.allocations.size === 0))
+      if (silent || (machine.retirementReason !== null && machine.allocations.size === 0))
         retired.push(machine.id);
       else if (machine.allocations.size === 0)
         idle[machine.id] = Math.round((now - machine.idleSince) / 1000);
@@ -123,7 +123,7 @@
       ...(jobProgress.length === 0 ? {} : { progress: jobProgress }),
       ...(policy === null
         ? {}
-        : { rooms: freeCapacityOf(machines, this.ctx), starved: Math.round(this.starved) }),
+        : { rooms: freeCapacityOf(machines, this.ctx), starved: Math.round(this.starvedCpus) }),
       use: toPairs(this.ledger.use),
       demand,
       need: [...requests.values()].slice(0, 40),
--- a/src/part/usable-machine.ts
+++ b/src/part/usable-machine.ts
@@ -7,8 +7,8 @@
   return (
     machine.hasOurToken &&
     machine.unreachableSince === null &&
-    machine.retired === null &&
-    machine.noticeS === null &&
+    machine.retirementReason === null &&
+    machine.terminationNoticeS === null &&
     // A machine that has missed two reports may be gone.
     ctx.clock.now() - machine.lastSeen < 3 * ctx.reportMs
   );
--- a/src/part/workers.ts
+++ b/src/part/workers.ts
@@ -9,7 +9,7 @@
 import type { FoundTask, Ledger } from "./ledger.js";
 
 /** State of a machine that has not reported to this owner yet. */
-const UNKNOWN_MACHINE: MachineReportState = { latest: null, hasOurToken: false, lastSeen: 0 };
+const UNKNOWN_MACHINE: MachineReportState = { latestReport: null, hasOurToken: false, lastSeen: 0 };
 
 /** An answer to a report that is delayed until a commit. */
 interface PendingAnswer {
@@ -135,8 +135,8 @@
     machine.spot = report.spot;
     machine.address = report.address;
     machine.lastSeen = now;
-    machine.noticeS = report.noticeS;
-    machine.latest = { session: report.session, seq: report.seq };
+    machine.terminationNoticeS = report.noticeS;
+    machine.latestReport = { session: report.session, seq: report.seq };
     if (reportClass.kind === "unaware") {
       // A start sent by the previous owner may still be in flight. This answer gives the worker this
       // owner's token; from then on it accepts starts only from this owner.
@@ -159,7 +159,7 @@
     }
     const markedDone = this.ctx.reconcilingRestore() && this.#markDoneTasks(report);
     machine.invalidateFreeResources();
-    if (machine.noticeS !== null) this.#stopBeforeReclaim(machine);
+    if (machine.terminationNoticeS !== null) this.#stopBeforeReclaim(machine);
     const pendingAnswer = { machine, report, listed, reply };
     if (machine.allocations.size === allocationsBefore && !markedDone) {
       this.#answer(pendingAnswer);
@@ -239,7 +239,7 @@
         commands.push(wire.stopTask(task.task, task.attempt, graceS));
       } else if (found === null || found.chunk.savedVersion >= found.chunk.version) {
         // The end must be committed before the worker may forget the task.
-        commands.push(wire.forgetTask(task.task, task.attempt));
+        commands.push(wire.clearTask(task.task, task.attempt));
       }
     }
     for (const allocation of isNewest ? machine.allocations.values() : []) {
@@ -250,7 +250,7 @@
       )
         continue;
       const job = this.ledger.jobs.get(allocation.chunk.job);
-      if (job === undefined || !job.wanted || machine.noticeS !== null) continue;
+      if (job === undefined || !job.mayStartTasks || machine.terminationNoticeS !== null) continue;
       if (!this.ctx.valid()) continue;
       allocation.startSentIn = { session: machine.session, seq: machine.seq };
       commands.push(wire.startTask(allocation.task, allocation.attempt));
@@ -334,8 +334,8 @@
     );
     job.notBefore = now + (job.failures > 1 ? pauseMs : 0);
     // Tasks of different jobs failed in succession: the machine is the likely cause.
-    if (machine.failedJobs.size >= 2 && machine.retired === null) {
-      machine.retired = "faulty";
+    if (machine.failedJobs.size >= 2 && machine.retirementReason === null) {
+      machine.retirementReason = "faulty";
       this.ctx.log.warn({ machine: machine.id }, "machine retired: different jobs fail on it");
     }
   }
@@ -346,7 +346,7 @@
     if (allocation.chunk.savedVersion < allocation.version) return;
     const job = this.ledger.jobs.get(allocation.chunk.job);
     const noLongerWanted =
-      allocation.stopRequest !== null || job?.open !== true || machine.noticeS !== null;
+      allocation.stopRequest !== null || job?.open !== true || machine.terminationNoticeS !== null;
     // Placed by this owner and its start never sent: it cannot run, and a start would not arrive.
     const neverSent =
       machine.unreachableSince !== null &&
--- a/src/peer/frames.ts
+++ b/src/peer/frames.ts
@@ -380,7 +380,7 @@
 }
 
 /** Splits a stream of bytes into frames, without their lengths. */
-export class FrameCutter {
+export class FrameSplitter {
   #buffered: Buffer = Buffer.alloc(0);
 
   push(bytes: Buffer): Buffer[] {
--- a/src/peer/mesh.ts
+++ b/src/peer/mesh.ts
@@ -1,7 +1,7 @@
 import { type AddressInfo, connect, createServer, type Server, type Socket } from "node:net";
 import type { Clock } from "../clock.js";
 import type { Log } from "../log.js";
-import { decodeFrame, encodeFrame, type Frame, FrameCutter, VERSION } from "./frames.js";
+import { decodeFrame, encodeFrame, type Frame, FrameSplitter, VERSION } from "./frames.js";
 
 export interface PeerAddress {
   name: string;
@@ -81,7 +81,7 @@
 
   #accept(socket: Socket): void {
     this.#incoming.add(socket);
-    const cutter = new FrameCutter();
+    const cutter = new FrameSplitter();
     let from: string | null = null;
     // A connection that sends no hello within the time limit is closed.
     const helloTimer = this.clock.after(this.retryMs * 4, () => {
--- a/src/pipeline/index.ts
+++ b/src/pipeline/index.ts
@@ -1,5 +1,5 @@
 import type { Clock } from "../clock.js";
-import { cancelledHeader, isHeader, type JobHeader } from "../jobs/job-header.js";
+import { cancelledHeader, isJobHeader, type JobHeader } from "../jobs/job-header.js";
 import type { Log } from "../log.js";
 import { JOB_HEADER_PREFIX, keys } from "../state/keys.js";
 import type { Mirror } from "../state/mirror.js";
@@ -10,13 +10,13 @@
 export { DependencyGraph, type DependencyState, type DependentJob } from "./graph.js";
 
 /** The state of a job, from wherever its record is kept; null if there is no such job. */
-export type Ended = { status: "open" | "done" | "cancelled"; over: number | null } | null;
+export type JobLookupResult = { status: "open" | "done" | "cancelled"; over: number | null } | null;
 
 /** The most jobs looked up, and the most headers cancelled, in one round. */
 const MAX_JOBS_PER_ROUND = 8;
 
 /** Tracks the dependencies between jobs from the watched headers. */
-export class Pipelines {
+export class DependencyTracker {
   readonly #graph = new DependencyGraph();
   readonly #reportedMissing = new Set<string>();
   #lookupRunning = false;
@@ -29,12 +29,12 @@
     readonly log: Log,
     readonly reportMs: number,
     /** Looks up a job that is not among the watched headers. */
-    readonly lookUp: (id: string) => Promise<Ended>,
+    readonly lookUp: (id: string) => Promise<JobLookupResult>,
   ) {
     mirror.on(JOB_HEADER_PREFIX, ({ key, value, deleted }) => {
       const id = key.slice(JOB_HEADER_PREFIX.length);
       if (deleted) this.#graph.markUnknown(id);
-      else if (isHeader(value)) this.#applyHeader(id, value);
+      else if (isJobHeader(value)) this.#applyHeader(id, value);
       if (this.#graph.unknown.size > 0) this.#startLookups();
     });
   }
@@ -44,17 +44,17 @@
   }
 
   /** Whether a job with a watched header may start, waits, or is cancelled by one that it awaits. */
-  fate(id: string): DependencyState {
+  dependencyState(id: string): DependencyState {
     return this.#graph.stateOf(id);
   }
 
   /** Whether none of its tasks may start for now. */
-  waits(id: string): boolean {
+  isBlocked(id: string): boolean {
     return this.#graph.size > 0 && this.#graph.stateOf(id) !== "ready";
   }
 
   /** The jobs that it still waits for. */
-  waitsFor(id: string): readonly string[] {
+  pendingDependencies(id: string): readonly string[] {
     return this.#graph.pendingDependencies(id);
   }
 
@@ -62,7 +62,7 @@
   expectedMs(id: string): number {
     return this.#graph.expectedMs(id, (other) => {
       const row = this.mirror.rows.get(keys.job(other));
-      const spec = row !== undefined && isHeader(row.value) ? row.value.spec : undefined;
+      const spec = row !== undefined && isJobHeader(row.value) ? row.value.spec : undefined;
       return (spec?.estimateS ?? 0) * 1000;
     });
   }
@@ -103,7 +103,7 @@
     for (const awaited of graph.pendingDependencies(id)) {
       if (!graph.unknown.has(awaited)) continue;
       const row = this.mirror.rows.get(keys.job(awaited));
-      if (row !== undefined && isHeader(row.value)) this.#applyHeader(awaited, row.value);
+      if (row !== undefined && isJobHeader(row.value)) this.#applyHeader(awaited, row.value);
     }
   }
 
@@ -129,7 +129,7 @@
 
   async #lookUpJob(id: string): Promise<void> {
     const row = this.mirror.rows.get(keys.job(id));
-    if (row !== undefined && isHeader(row.value)) return this.#applyHeader(id, row.value);
+    if (row !== undefined && isJobHeader(row.value)) return this.#applyHeader(id, row.value);
     try {
       const found = await this.lookUp(id);
       if (found === null) {
@@ -184,7 +184,7 @@
     for (const id of this.#graph.toCancel) {
       const key = keys.job(id);
       const row = this.mirror.rows.get(key);
-      if (row === undefined || !isHeader(row.value) || row.value.status !== "open") continue;
+      if (row === undefined || !isJobHeader(row.value) || row.value.status !== "open") continue;
       const value = cancelledHeader(row.value, this.clock.wall());
       bytes += 512 + Buffer.byteLength(JSON.stringify(value));
       if (changes.length >= Math.min(MAX_JOBS_PER_ROUND, limits.ops)) break;
--- a/src/quota/limits.ts
+++ b/src/quota/limits.ts
@@ -9,12 +9,12 @@
 export const NO_LIMIT = Number.POSITIVE_INFINITY;
 
 /** Converts a limit from the settings (`cpus_max`, `gpus_max`), where 0 means no limit. */
-export const limitOf = (setting: number): number => (setting === 0 ? NO_LIMIT : setting);
+export const limitFromSetting = (setting: number): number => (setting === 0 ? NO_LIMIT : setting);
 
 export const isLimited = (limit: number): boolean => limit !== NO_LIMIT;
 
 /** Limits by team, from settings in which 0 is already replaced by `NO_LIMIT`. */
-export const limitsOf = (
+export const limitsByTeam = (
   teams: readonly { name: string; cpus_max: number; gpus_max: number }[],
 ): Map<string, Amounts> =>
   new Map(teams.map(({ name, cpus_max, gpus_max }) => [name, { cpus: cpus_max, gpus: gpus_max }]));
@@ -24,7 +24,7 @@
 ): Map<string, Amounts> => new Map(teams.map(({ name, cpus, gpus }) => [name, { cpus, gpus }]));
 
 /** A limit for users and for HTTP bodies, with null for no limit: JSON has no infinity. */
-export const shownLimit = ({ cpus, gpus }: Amounts): Record<keyof Amounts, number | null> => ({
+export const limitForJson = ({ cpus, gpus }: Amounts): Record<keyof Amounts, number | null> => ({
   cpus: isLimited(cpus) ? cpus : null,
   gpus: isLimited(gpus) ? gpus : null,
 });
--- a/src/settings/operators.ts
+++ b/src/settings/operators.ts
@@ -1,8 +1,8 @@
 import { readFileSync } from "node:fs";
 import type { ArchiveOptions } from "../controller/index.js";
-import { sentenceOf } from "../errors.js";
+import { describeError } from "../errors.js";
 import type { Extension } from "../extension/index.js";
-import type { PackageDoor } from "./package-definition.js";
+import type { PackageDefinition } from "./package-definition.js";
 import { type Settings, SettingsError } from "./settings.js";
 import { buildTuning, parseSources, type Source, type Tuning } from "./tuning.js";
 
@@ -10,7 +10,7 @@
  * Loaders of the optional packages by the name of their message. A package is loaded only if a file
  * contains its message, and is not in the bundle with which a controller starts.
  */
-const PACKAGE_LOADERS: Record<string, () => Promise<{ door: PackageDoor }>> = {
+const PACKAGE_LOADERS: Record<string, () => Promise<{ door: PackageDefinition }>> = {
   market: () => import("../market/index.js"),
   submit: () => import("../submit/index.js"),
   suspicion: () => import("../suspicion/index.js"),
@@ -38,7 +38,7 @@
   const refuse = (reason: string): never => {
     throw new SettingsError(reason);
   };
-  operators.extensions.push(door.open({}, settings, refuse));
+  operators.extensions.push(door.createExtension({}, settings, refuse));
 }
 
 /** Names of the top-level fields of a file: skips comments, strings and anything in braces. */
@@ -63,7 +63,7 @@
     try {
       return { file, text: readFileSync(file, "utf8") };
     } catch (error) {
-      throw new SettingsError(`${file}: ${sentenceOf(error)}`);
+      throw new SettingsError(`${file}: ${describeError(error)}`);
     }
   });
   return parseOperators(sources, settings);
@@ -75,7 +75,7 @@
 ): Promise<Operators> {
   if (sources.length === 0) return { tuning: undefined, extensions: [] };
   const fieldsInFiles = new Set(sources.flatMap(({ text }) => [...topFields(text)]));
-  const definitions: PackageDoor[] = [];
+  const definitions: PackageDefinition[] = [];
   for (const [name, load] of Object.entries(PACKAGE_LOADERS)) {
     if (fieldsInFiles.has(name)) definitions.push((await load()).door);
   }
@@ -83,7 +83,7 @@
     sources,
     definitions.map(({ schema }) => schema),
   );
-  const extensions = definitions.map(({ schema, open }) =>
+  const extensions = definitions.map(({ schema, createExtension: open }) =>
     open(raw[schema.field], settings, refuse),
   );
   const extra = extensions.flatMap(({ teams }) => [...teams]);
--- a/src/settings/settings.ts
+++ b/src/settings/settings.ts
@@ -1,21 +1,21 @@
 import { readFileSync } from "node:fs";
 import { parse, TomlError } from "smol-toml";
 import { z } from "zod";
-import { sentenceOf } from "../errors.js";
-import { limitOf } from "../quota/limits.js";
+import { describeError } from "../errors.js";
+import { limitFromSetting } from "../quota/limits.js";
 
 const address = z.string().regex(/^[^:\s]+:\d{1,5}$/, "expected host:port");
 const positive = z.number().finite().positive();
 const amount = z.number().finite().nonnegative();
 
-const limit = amount.transform(limitOf);
+const limit = amount.transform(limitFromSetting);
 
 const team = z.object({
   name: z.string().min(1),
   cpus: amount.default(0),
   cpus_max: limit,
   gpus: amount.default(0),
-  gpus_max: limit.default(limitOf(0)),
+  gpus_max: limit.default(limitFromSetting(0)),
 });
 
 const schema = z.object({
@@ -114,7 +114,7 @@
   try {
     text = readFileSync(file, "utf8");
   } catch (error) {
-    throw new SettingsError(`${file}: ${sentenceOf(error)}`);
+    throw new SettingsError(`${file}: ${describeError(error)}`);
   }
   return parseSettings(text, file);
 }
--- a/src/settings/tuning.ts
+++ b/src/settings/tuning.ts
@@ -85,7 +85,7 @@
  * Throws a `SettingsError` with the reason and the file and line where the text `near` first
  * occurs.
  */
-export type Refuse = (reason: string, near: string) => never;
+export type RejectSettings = (reason: string, near: string) => never;
 
 export interface Tuning {
   /** Teams and groups, the root included, as input for a `ShareTree`. */
@@ -136,7 +136,7 @@
 export function parseSources(
   sources: readonly Source[],
   packages: readonly PackageSchema[],
-): { raw: Raw & Record<string, unknown>; refuse: Refuse } {
+): { raw: Raw & Record<string, unknown>; refuse: RejectSettings } {
   // Loaded only if there is such a file, since loading takes time and memory that most runs can
   // save.
   const load = createRequire(import.meta.url);
@@ -214,7 +214,7 @@
 export function buildTuning(
   raw: Raw,
   teams: readonly Team[],
-  refuse: Refuse,
+  refuse: RejectSettings,
   extra: readonly ExtraTeam[] = [],
 ): Tuning {
   const atLeast = (value: number | undefined, fallback: number, least: number, name: string) => {
--- a/src/state/mirror.ts
+++ b/src/state/mirror.ts
@@ -147,7 +147,7 @@
   }
 
   /** How many versions of deleted or evicted keys are kept. */
-  get remembered(): number {
+  get removedVersionCount(): number {
     return this.#removedVersions.size + this.#olderRemovedVersions.size;
   }
 
--- a/src/state/schema.ts
+++ b/src/state/schema.ts
@@ -21,15 +21,15 @@
 export interface Schema {
   version: number;
   /** Version of the row, 0 while there is none. A write conditional on it is valid for this schema. */
-  stamp: number;
+  rowVersion: number;
 }
 
 /** The schema as the mirror has it; version NaN for an unreadable row. */
 export function schemaOf(mirror: Mirror): Schema {
   const row = mirror.rows.get(keys.schema);
-  if (row === undefined) return { version: 1, stamp: 0 };
+  if (row === undefined) return { version: 1, rowVersion: 0 };
   const version = (row.value as { version?: unknown } | null)?.version;
-  return { version: typeof version === "number" ? version : Number.NaN, stamp: row.version };
+  return { version: typeof version === "number" ? version : Number.NaN, rowVersion: row.version };
 }
 
 export const leaderKey = (mirror: Mirror): string =>
--- a/src/submit/index.ts
+++ b/src/submit/index.ts
@@ -10,7 +10,7 @@
   controllersWithoutPackage,
   type Extension,
 } from "../extension/index.js";
-import type { PackageDoor } from "../settings/package-definition.js";
+import type { PackageDefinition } from "../settings/package-definition.js";
 import { SubmitApi } from "./site/api.js";
 import { ClusterIndex } from "./site/cluster-index.js";
 import { ClusterReconciler } from "./site/cluster-reconciler.js";
@@ -98,8 +98,8 @@
   }
 }
 
-export const door: PackageDoor = {
+export const door: PackageDefinition = {
   schema,
-  open: (raw, { params }, refuse) =>
+  createExtension: (raw, { params }, refuse) =>
     new Submit(readSettings(raw, params.zones, refuse), params.zones),
 };
--- a/src/submit/map/expressions.ts
+++ b/src/submit/map/expressions.ts
@@ -34,7 +34,7 @@
       error.line === 1 ? at(error.column - 1) : place,
     );
   }
-  const { unknown } = reads(node, null);
+  const { unknownFunctions: unknown } = reads(node, null);
   const [unknownFunction] = unknown;
   if (unknownFunction !== undefined) {
     throw new SubmitError(
--- a/src/submit/site/cluster-index.ts
+++ b/src/submit/site/cluster-index.ts
@@ -1,5 +1,5 @@
 import type { Core } from "../../extension/index.js";
-import { isHeader, type JobHeader } from "../../jobs/job-header.js";
+import { isJobHeader, type JobHeader } from "../../jobs/job-header.js";
 import { keys as coreKeys } from "../../state/keys.js";
 import { type ClusterRecord, isClusterRecord, jobId, keys, parseJobId } from "./records.js";
 
@@ -49,7 +49,7 @@
   /** A job's header as this controller's mirror has it; null if it has none. */
   header(id: string): JobHeader | null {
     const row = this.core.mirror.rows.get(coreKeys.job(id));
-    return row !== undefined && isHeader(row.value) ? row.value : null;
+    return row !== undefined && isJobHeader(row.value) ? row.value : null;
   }
 
   jobs(cluster: number, record: ClusterRecord): JobState[] {
--- a/src/submit/site/cluster-store.ts
+++ b/src/submit/site/cluster-store.ts
@@ -1,6 +1,6 @@
 import type { Core } from "../../extension/index.js";
 import { tryCancel } from "../../jobs/cancel.js";
-import { isHeader } from "../../jobs/job-header.js";
+import { isJobHeader } from "../../jobs/job-header.js";
 import { keys as coreKeys } from "../../state/keys.js";
 import type { Condition, Row } from "../../state/store.js";
 import type { ClusterIndex, Versioned } from "./cluster-index.js";
@@ -76,7 +76,7 @@
     let row: Pick<Row, "value" | "version"> | null = mirror.rows.get(coreKeys.job(id)) ?? null;
     for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       if (row === null || attempt > 0) row = await store.get(coreKeys.job(id));
-      if (row === null || !isHeader(row.value)) return false;
+      if (row === null || !isJobHeader(row.value)) return false;
       if (row.value.status !== "open") return true;
       if (attempt > 0 || !writesCharged) store.writes.force(2);
       if (
--- a/src/submit/site/job-ads.ts
+++ b/src/submit/site/job-ads.ts
@@ -173,7 +173,7 @@
           ? [...Ad.parse(text).attributes()].map(({ node }) => new Expression(node))
           : [Expression.parse(text)];
       for (const node of nodes) {
-        const [unknown] = node.reads().unknown;
+        const [unknown] = node.reads().unknownFunctions;
         if (unknown !== undefined) return `${field}: no function ${unknown}`;
       }
     } catch (error) {
--- a/src/submit/site/job-matcher.ts
+++ b/src/submit/site/job-matcher.ts
@@ -38,7 +38,7 @@
     }
     const { deferredUntilS: after } = this.matcher.jobAd(spec);
     if (after !== null && after * 1000 > this.core.clock.wall()) return true;
-    return !this.matcher.prospect(spec);
+    return !this.matcher.canMatch(spec);
   }
 
   equivalenceKey(spec: JobSpec): string | null {
@@ -95,7 +95,7 @@
       }
       if (record.state === "removed") return { status: 422, reason: "that cluster is removed" };
     }
-    return this.matcher.prospect(spec)
+    return this.matcher.canMatch(spec)
       ? null
       : { status: 422, reason: this.matcher.mismatchReason(spec) };
   }
--- a/src/submit/site/matcher.ts
+++ b/src/submit/site/matcher.ts
@@ -210,7 +210,7 @@
    * Whether some machine of the catalogue could run a task: when empty, or with other free
    * resources, unless the expressions are certainly FALSE or ERROR whatever is free.
    */
-  prospect(spec: JobSpec): boolean {
+  canMatch(spec: JobSpec): boolean {
     const job = this.jobAd(spec);
     this.kind(NO_KIND);
     this.#invalidateIfChanged(job);
--- a/src/submit/site/settings.ts
+++ b/src/submit/site/settings.ts
@@ -1,5 +1,5 @@
 import { Ad, ClassAdError, Expression } from "../../classad/index.js";
-import type { PackageSchema, Refuse } from "../../settings/tuning.js";
+import type { PackageSchema, RejectSettings } from "../../settings/tuning.js";
 
 /**
  * Schema of the message `submit` in the operators' settings, documented in
@@ -76,7 +76,7 @@
   "spot",
 ];
 
-function parseAttributes(texts: readonly string[], refuse: Refuse): Ad {
+function parseAttributes(texts: readonly string[], refuse: RejectSettings): Ad {
   const all = new Ad();
   for (const text of texts) {
     try {
@@ -93,10 +93,10 @@
   return all;
 }
 
-function parseStart(text: string, refuse: Refuse): Expression {
+function parseStart(text: string, refuse: RejectSettings): Expression {
   try {
     const start = Expression.parse(text);
-    const [unknown] = start.reads().unknown;
+    const [unknown] = start.reads().unknownFunctions;
     if (unknown !== undefined) refuse(`start: no function ${unknown}`, unknown);
     return start;
   } catch (error) {
@@ -109,7 +109,7 @@
 export function readSettings(
   raw: unknown,
   zones: readonly string[],
-  refuse: Refuse,
+  refuse: RejectSettings,
 ): SubmitSettings {
   const { machine = [], kept = 500, jobs = 500, patience_s: patienceS = 600 } = raw as RawSettings;
   if (!(patienceS > 0)) refuse("patience_s must be above 0", "patience_s");
--- a/src/submit/user/client.ts
+++ b/src/submit/user/client.ts
@@ -35,7 +35,7 @@
 /** Client of the clusters API. Requests are idempotent and are retried until they are answered. */
 export class SubmitClient extends RequestClient {
   /** Jobs of clusters are submitted through the general jobs API. */
-  readonly #jobClient = new JobClient("", this.clock, this.caller, this.patienceMs);
+  readonly #jobClient = new JobClient("", this.clock, this.caller, this.giveUpAfterMs);
 
   /**
    * Creates the cluster and returns its number, which is the same for every retry with one name.
--- a/src/suspicion/accusations.ts
+++ b/src/suspicion/accusations.ts
@@ -148,7 +148,7 @@
     }
     if (entry.accusation.judged || !claims.valid()) return;
     const serviceProved = claims
-      .served()
+      .servedParts()
       .every(({ machines, servedAt }) => machines === 0 || servedAt > entry.seenAt);
     if (serviceProved) this.#remove(entry, "refutation");
   }
--- a/src/suspicion/failure-detector.ts
+++ b/src/suspicion/failure-detector.ts
@@ -141,7 +141,7 @@
     const { claims, staleness } = this.core;
     const maxAgeMs = this.timing.reportIntervalMs * 1.5;
     const answers = claims
-      .served()
+      .servedParts()
       .every(({ machines, servedAt }) => machines === 0 || now - servedAt < maxAgeMs);
     const lateMs = this.#timerDelay.worst();
     return {
--- a/src/suspicion/index.ts
+++ b/src/suspicion/index.ts
@@ -11,7 +11,7 @@
   controllersWithoutPackage,
   type Extension,
 } from "../extension/index.js";
-import type { PackageDoor } from "../settings/package-definition.js";
+import type { PackageDefinition } from "../settings/package-definition.js";
 import { FailureDetector } from "./failure-detector.js";
 import { parseAccusation } from "./records.js";
 import { readTiming, schema, type Timing } from "./settings.js";
@@ -59,9 +59,9 @@
   }
 }
 
-export const door: PackageDoor = {
+export const door: PackageDefinition = {
   schema,
-  open: (raw, settings, refuse) => {
+  createExtension: (raw, settings, refuse) => {
     const { lease_s, report_s } = settings.params.workers;
     return new Suspicion(readTiming(raw, { leaseS: lease_s, reportS: report_s }, refuse));
   },
--- a/src/suspicion/settings.ts
+++ b/src/suspicion/settings.ts
@@ -1,4 +1,4 @@
-import type { PackageSchema, Refuse } from "../settings/tuning.js";
+import type { PackageSchema, RejectSettings } from "../settings/tuning.js";
 
 /** Schema of the message `suspicion` in the operators' settings, explained in `deploy/suspicion.textproto`. */
 export const schema: PackageSchema = {
@@ -54,7 +54,7 @@
 export function readTiming(
   raw: unknown,
   { leaseS, reportS }: { leaseS: number; reportS: number },
-  refuse: Refuse,
+  refuse: RejectSettings,
 ): Timing {
   const settings = (raw ?? {}) as RawSettings;
   const leaseMs = leaseS * 1000;
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -21,8 +21,8 @@
 }
 
 export const PAGE_SIZE = 500;
-export const MAX_RENT = 50;
-export const MAX_RETURN = 100;
+export const MAX_RENTED_PER_CALL = 50;
+export const MAX_RETURNED_PER_CALL = 100;
 export const paths = {
   types: "/catalog",
   rent: "/hosts",
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -41,7 +41,7 @@
   try: attempt,
   windDownS: graceS,
 });
-export const forgetTask = (task: string, attempt: number): Command => ({
+export const clearTask = (task: string, attempt: number): Command => ({
   verb: "clear",
   piece: task,
   try: attempt,
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -20,7 +20,7 @@
   session = 0;
   seq = -1;
   /** The newest report that was used for anything, also one without our token; null for none. */
-  latest: ReportPosition | null = null;
+  latestReport: ReportPosition | null = null;
   /**
    * Since when our answers may not reach it: its reports arrive, but show that it has received no
    * answer for long. Nothing is placed on it until it receives one. Null if answers arrive.
@@ -32,10 +32,10 @@
    */
   hasOurToken = false;
   lastSeen: number;
-  noticeS: number | null = null;
+  terminationNoticeS: number | null = null;
   idleSince: number;
   /** Why it is retired; null if it is not. The leader is asked to return it to the cloud. */
-  retired: string | null = null;
+  retirementReason: string | null = null;
   /** Jobs that failed here since the last success. */
   readonly failedJobs = new Set<string>();
   readonly allocations = new Map<string, Allocation>();
@@ -46,7 +46,7 @@
    * Resources being freed for a job, by job. Without reservations, smaller tasks took the freed
    * resources before there were enough, and the same tasks were stopped repeatedly for one job.
    */
-  readonly reserved = new Map<string, { tasks: number; spec: JobSpec; until: number }>();
+  readonly reservations = new Map<string, { tasks: number; spec: JobSpec; until: number }>();
   #freeResources: Resources | null = null;
 
   constructor(
@@ -92,9 +92,9 @@
   machine: Machine,
   job: string | null,
 ): Resources {
-  if (machine.reserved.size === 0) return free;
+  if (machine.reservations.size === 0) return free;
   const unreserved = { ...free };
-  for (const [id, { tasks, spec }] of machine.reserved)
+  for (const [id, { tasks, spec }] of machine.reservations)
     if (id !== job) addResources(unreserved, spec, -tasks);
   return unreserved;
 }
--- a/src/workers/report-classification.ts
+++ b/src/workers/report-classification.ts
@@ -10,7 +10,7 @@
 /** What the owner of a part knows of a machine when it receives a report from it. */
 export interface MachineReportState {
   /** The newest report that was used for anything, under any token; null if there is none. */
-  latest: ReportPosition | null;
+  latestReport: ReportPosition | null;
   /** Whether the worker has reported under our fencing token. */
   hasOurToken: boolean;
   lastSeen: number;
@@ -60,7 +60,7 @@
   { leaseMs, reportMs }: ReportTiming,
 ): ReportClass {
   if (report.token > token) return { kind: "foreign" };
-  const { latest, hasOurToken } = state;
+  const { latestReport: latest, hasOurToken } = state;
   if (latest !== null && !isNewerReport(report, latest)) return { kind: "old" };
   if (report.token < token) return { kind: "unaware" };
   // The worker can have our token only from an answer of ours.
--- a/test/accusations-model.test.ts
+++ b/test/accusations-model.test.ts
@@ -8,7 +8,13 @@
 import type { Condition } from "../src/state/store.js";
 import { FakeClock } from "./support/clock.js";
 import { LIMITS, quiet } from "./support/common.js";
-import { type Choices, ChosenStore, explore, type Scene, Wire } from "./support/model-checker.js";
+import {
+  type Choices,
+  ChosenStore,
+  explore,
+  RequestScheduler,
+  type Scene,
+} from "./support/model-checker.js";
 import { FakeState } from "./support/store.js";
 
 /**
@@ -37,7 +43,7 @@
   const owner = (): string =>
     (state.rows.get(CLAIM)?.value as { run: string } | undefined)?.run ?? "";
   const leases = new Map<string, number>();
-  const wire = new Wire(state, choices, 1, () => {
+  const wire = new RequestScheduler(state, choices, 1, () => {
     const page = state.rows.get(PAGE);
     const last = page === undefined ? null : `${page.value as string}@${page.version}`;
     if (last !== null && commits.at(-1) !== last) {
--- a/test/archive-model.test.ts
+++ b/test/archive-model.test.ts
@@ -4,8 +4,8 @@
   beginArchive,
   type Candidates,
   decodeLeaf,
+  END_OF_RANGES,
   encodeLeaf,
-  LAST,
   Lookups,
   leafKey,
   Mover,
@@ -15,20 +15,31 @@
 import { Refusals } from "../src/controller/refusals.js";
 import type { Core } from "../src/extension/index.js";
 import type { Reply } from "../src/http/server.js";
-import { doneHeader, isHeader, type JobHeader, withPartReleased } from "../src/jobs/job-header.js";
+import {
+  doneHeader,
+  isJobHeader,
+  type JobHeader,
+  withPartReleased,
+} from "../src/jobs/job-header.js";
 import type { JobOutcome } from "../src/jobs/job-outcome.js";
 import { StateService } from "../src/local/state.js";
 import { Layout } from "../src/membership/layout.js";
 import { Metrics } from "../src/metrics.js";
 import { Summaries } from "../src/part/summary.js";
-import { Pipelines } from "../src/pipeline/index.js";
+import { DependencyTracker } from "../src/pipeline/index.js";
 import { JOB_HEADER_PREFIX, keys } from "../src/state/keys.js";
 import { Mirror } from "../src/state/mirror.js";
 import type { Change, Condition, Row } from "../src/state/store.js";
 import { PlacementConstraints } from "../src/workers/placement-constraints.js";
 import { FakeClock } from "./support/clock.js";
-import { ALONE, bodyOf, LIMITS, quiet } from "./support/common.js";
-import { type Choices, ChosenStore, explore, type Scene, Wire } from "./support/model-checker.js";
+import { bodyOf, LIMITS, quiet, WITHOUT_CLAIMS_OR_PEERS } from "./support/common.js";
+import {
+  type Choices,
+  ChosenStore,
+  explore,
+  RequestScheduler,
+  type Scene,
+} from "./support/model-checker.js";
 import { plainSpec } from "./support/placement-bench.js";
 import { settingsFor } from "./support/platform-settings.js";
 
@@ -71,7 +82,7 @@
 class ArchiveModel {
   readonly clock = new FakeClock();
   readonly state: StateService;
-  readonly wire: Wire;
+  readonly wire: RequestScheduler;
   /** Finished jobs with their final status, which must not change. */
   readonly finalStatus = new Map<string, string>();
   readonly accepted = new Set<string>();
@@ -80,10 +91,10 @@
 
   constructor(choices: Choices, { faults, omit, archive = true }: Options) {
     this.state = new StateService(this.clock, SMALL_LIMITS);
-    this.wire = new Wire(this.state, choices, faults, () => this.check());
+    this.wire = new RequestScheduler(this.state, choices, faults, () => this.check());
     if (archive) {
       const entries = ["wk-0001", "wk-0004", "wk-0009"].map((id) => [id, archivedOutcome] as const);
-      this.put(leafKey(LAST), encodeLeaf("", entries));
+      this.put(leafKey(END_OF_RANGES), encodeLeaf("", entries));
       this.put(keys.schema, { version: 2 });
       for (const [id] of entries) this.finalStatus.set(id, "done");
     }
@@ -129,7 +140,7 @@
       mirror,
       layout: new Layout([{ name: "n0", zone: "a" }]),
       summaries: new Summaries(),
-      ...ALONE,
+      ...WITHOUT_CLAIMS_OR_PEERS,
       types: () => types,
       staleness: () => 0,
       inspect: () => [],
@@ -166,7 +177,7 @@
     const refusals = new Refusals(new Set(teamLimits.keys()), this.clock, quiet, metrics, 1000);
     const constraints = new PlacementConstraints(null);
     const findArchived = (id: string) => history.find(id);
-    const pipelines = new Pipelines(mirror, store, this.clock, quiet, 1000, findArchived);
+    const pipelines = new DependencyTracker(mirror, store, this.clock, quiet, 1000, findArchived);
     const users = new JobApi(
       core,
       (team) => teamLimits.get(team),
@@ -223,7 +234,7 @@
     const archived = this.archived;
     const ids = new Set([...this.accepted, ...this.finalStatus.keys()]);
     for (const [key, { value }] of this.state.rows) {
-      if (!key.startsWith("w/j/") || !isHeader(value)) continue;
+      if (!key.startsWith("w/j/") || !isJobHeader(value)) continue;
       const id = key.slice(4);
       ids.add(id);
       assert.ok(!archived.has(id), `${id} is archived and has a header: ${value.status}`);
@@ -329,7 +340,7 @@
       const key = keys.job(DONE_JOB);
       const part = async (): Promise<void> => {
         const row = await store.get(key);
-        if (row === null || !isHeader(row.value) || row.value.status !== "cancelled") return;
+        if (row === null || !isJobHeader(row.value) || row.value.status !== "cancelled") return;
         // The part has nothing left of the job and writes that into the header.
         const change = [{ put: key, value: withPartReleased(row.value, 0) }];
         await store.transact([{ key, version: row.version }], change).catch(() => undefined);
@@ -368,7 +379,7 @@
         if (second.status === 503) return;
         model.accepted.add(NEW_JOB);
         const row = model.state.rows.get(keys.job(NEW_JOB));
-        if (row === undefined || !isHeader(row.value) || row.value.status !== "open") return;
+        if (row === undefined || !isJobHeader(row.value) || row.value.status !== "open") return;
         model.header(NEW_JOB, doneHeader({ ...row.value, owners: "x" }, WALL));
         if (model.state.rows.has(keys.schema))
           await model.mover("leader", model.rows(NEW_JOB), 1)();
--- a/test/archive-world.test.ts
+++ b/test/archive-world.test.ts
@@ -2,8 +2,8 @@
 import { test } from "node:test";
 import { decodeLeaf, lastIdOf } from "../src/archive/index.js";
 import type { ArchiveOptions } from "../src/controller/index.js";
-import { isHeader } from "../src/jobs/job-header.js";
-import { fault } from "./support/faults.js";
+import { isJobHeader } from "../src/jobs/job-header.js";
+import { injectRandomFault } from "./support/faults.js";
 import { Random } from "./support/random.js";
 import { World } from "./support/world.js";
 
@@ -31,7 +31,7 @@
 function assertComplete(world: World): Map<string, string> {
   const found = archivedJobs(world);
   for (const [key, { value }] of world.state.rows) {
-    if (key.startsWith("w/j/") && isHeader(value)) {
+    if (key.startsWith("w/j/") && isJobHeader(value)) {
       assert.ok(!found.has(key.slice(4)), `${key} has a header and is archived`);
     }
   }
@@ -68,7 +68,7 @@
       });
       if (random.chance(0.25)) world.clock.after(random.int(100, 9000), () => world.cancel(id));
     }
-    if (random.chance(0.25)) fault(world, random);
+    if (random.chance(0.25)) injectRandomFault(world, random);
     await world.clock.run(3000);
   }
   await world.clock.run(240_000);
--- a/test/archive.test.ts
+++ b/test/archive.test.ts
@@ -6,15 +6,15 @@
   CorruptLeaf,
   covers,
   decodeLeaf,
+  END_OF_RANGES,
   type Entry,
   encodeLeaf,
   findOutcome,
-  LAST,
   type Leaf,
   Lookups,
-  leafBytes,
   leafKey,
   listingStartOf,
+  maxLeafBytes,
   planMove,
 } from "../src/archive/index.js";
 import { GoneMachines } from "../src/controller/gone-machines.js";
@@ -32,7 +32,7 @@
 import { Refused, type Row } from "../src/state/store.js";
 import { LIMITS, quiet } from "./support/common.js";
 import { Random } from "./support/random.js";
-import { service } from "./support/store.js";
+import { fakeStateService } from "./support/store.js";
 import { Year } from "./support/year.js";
 
 const ID = fc.stringMatching(/^wk-[0-9A-Za-z][0-9A-Za-z_.-]{0,12}$/);
@@ -67,7 +67,7 @@
 test("leaves: decoding returns the encoded entries", () => {
   fc.assert(
     fc.property(ENTRIES, (entries) => {
-      const leaf = decodeLeaf(row(leafKey(LAST), encodeLeaf("", entries)));
+      const leaf = decodeLeaf(row(leafKey(END_OF_RANGES), encodeLeaf("", entries)));
       assert.deepEqual(leaf.entries, entries);
       for (const [id, past] of entries) assert.deepEqual(findOutcome(leaf.entries, id), past);
     }),
@@ -102,7 +102,7 @@
         const place = at % record.d.length;
         fc.pre(record.d[place] !== other);
         const d = record.d.slice(0, place) + other + record.d.slice(place + 1);
-        assert.throws(() => decodeLeaf(row(leafKey(LAST), { ...record, d })), CorruptLeaf);
+        assert.throws(() => decodeLeaf(row(leafKey(END_OF_RANGES), { ...record, d })), CorruptLeaf);
       },
     ),
   );
@@ -112,9 +112,9 @@
   ["wk-5", { status: "done", tasks: 1, done: 1, at: 0, over: null, team: null }],
 ]);
 const INVALID_ROWS: [string, Row][] = [
-  ["a value that is not a record", row(leafKey(LAST), 7)],
-  ["a missing field", row(leafKey(LAST), { ...validRecord, b: undefined })],
-  ["a wrong count", row(leafKey(LAST), { ...validRecord, n: 2 })],
+  ["a value that is not a record", row(leafKey(END_OF_RANGES), 7)],
+  ["a missing field", row(leafKey(END_OF_RANGES), { ...validRecord, b: undefined })],
+  ["a wrong count", row(leafKey(END_OF_RANGES), { ...validRecord, n: 2 })],
   ["an id outside the range", row(leafKey("wk-4"), validRecord)],
   ["a key that is not a leaf key", row("a/j/wk-5", validRecord)],
 ];
@@ -125,13 +125,13 @@
 test("leaves: the first key after an id is its leaf, also if ids are prefixes of one another", () => {
   fc.assert(
     fc.property(fc.uniqueArray(ID, { minLength: 1, maxLength: 20 }), ID, (ends, id) => {
-      const lasts = [...ends.sort(), LAST];
+      const lasts = [...ends.sort(), END_OF_RANGES];
       const listed = lasts.map(leafKey).sort();
       assert.deepEqual(listed, lasts.map(leafKey), "keys sort as the ids do");
       const found = listed.findIndex((key) => key > listingStartOf(id));
       assert.equal(
         found,
-        lasts.findIndex((last) => last === LAST || last >= id),
+        lasts.findIndex((last) => last === END_OF_RANGES || last >= id),
       );
     }),
   );
@@ -153,10 +153,10 @@
       (existing, added, changes, maxBytes) => {
         const known = new Set(existing.map(([id]) => id));
         const leaf: Leaf = {
-          key: leafKey(LAST),
+          key: leafKey(END_OF_RANGES),
           version: 9,
           from: "",
-          last: LAST,
+          last: END_OF_RANGES,
           entries: existing,
         };
         const rows = added.map(([id, past]) => row(keys.job(id), headerOf(past), 3));
@@ -181,7 +181,7 @@
           all.push(...entries);
           from = last;
         }
-        assert.equal(from, LAST);
+        assert.equal(from, END_OF_RANGES);
         const moved = new Set(move.moved.map(({ key }) => key.slice(4)));
         assert.equal(all.length, existing.length + moved.size);
         for (const id of moved) assert.ok(all.some(([name]) => name === id));
@@ -199,8 +199,10 @@
 });
 
 test("moves: with increasing ids, split leaves are left nearly full", () => {
-  const limits = { changes: 12, leafBytes: leafBytes(LIMITS), txnBytes: LIMITS.txnBytes };
-  let leaves: Leaf[] = [{ key: leafKey(LAST), version: 1, from: "", last: LAST, entries: [] }];
+  const limits = { changes: 12, leafBytes: maxLeafBytes(LIMITS), txnBytes: LIMITS.txnBytes };
+  let leaves: Leaf[] = [
+    { key: leafKey(END_OF_RANGES), version: 1, from: "", last: END_OF_RANGES, entries: [] },
+  ];
   for (let i = 0; i < 3000; i += 10) {
     const rows = Array.from({ length: 10 }, (_, j) => {
       const id = `wk-${String(i + j).padStart(6, "0")}`;
@@ -261,7 +263,7 @@
 // ---- lookups --------------------------------------------------------------------------------
 
 function filledArchive(count: number) {
-  const { clock, state, store } = service(1, { ...LIMITS, rps: 200 });
+  const { clock, state, store } = fakeStateService(1, { ...LIMITS, rps: 200 });
   const entries = Array.from({ length: count }, (_, i): Entry => {
     const id = `wk-${String(i).padStart(6, "0")}`;
     return [id, doneOutcome(2, 0, 1000)];
@@ -269,7 +271,7 @@
   let from = "";
   for (let i = 0; i < count; i += 100) {
     const part = entries.slice(i, i + 100);
-    const last = i + 100 >= count ? LAST : part.at(-1)![0];
+    const last = i + 100 >= count ? END_OF_RANGES : part.at(-1)![0];
     state.transact([], [{ put: leafKey(last), value: encodeLeaf(from, part) }]);
     from = last;
   }
@@ -359,7 +361,7 @@
   [
     "the last leaf missing",
     (state) => {
-      state.transact([], [{ remove: leafKey(LAST) }]);
+      state.transact([], [{ remove: leafKey(END_OF_RANGES) }]);
     },
     "wk-000950",
   ],
@@ -384,7 +386,7 @@
 // ---- the watched keys ------------------------------------------------------------------------
 
 function mirrorOf(rows: number) {
-  const { clock, state, store } = service(3);
+  const { clock, state, store } = fakeStateService(3);
   for (let i = 0; i < rows; i++)
     state.transact([], [{ put: `w/k/${String(i).padStart(5, "0")}`, value: i }]);
   const mirror = new Mirror(store, clock, quiet, 1000);
@@ -480,7 +482,7 @@
   );
   assert.equal(mirror.rows.size, 0, "a deleted key is in the mirror again");
   await clock.run(300_000);
-  assert.equal(mirror.remembered, 0);
+  assert.equal(mirror.removedVersionCount, 0);
   mirror.stop();
 });
 
--- a/test/classad.test.ts
+++ b/test/classad.test.ts
@@ -341,7 +341,7 @@
   assert.deepEqual([...found.target].sort(), ["arch", "cpus"]);
   assert.deepEqual([...found.my].sort(), ["loop", "mine", "wanted"]);
   assert.equal(found.time, true);
-  assert.deepEqual([...found.unknown], ["noSuch"]);
+  assert.deepEqual([...found.unknownFunctions], ["noSuch"]);
   assert.equal(Expression.parse('eval("x")').reads().anything, true);
   const parts = clauses(parseExpression("a && (b || c) && (d && e)")).map(print);
   assert.deepEqual(parts, ["a", "b || c", "d", "e"]);
--- a/test/configuration-author.test.ts
+++ b/test/configuration-author.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { ConfigurationClient, Overtaken } from "../src/configuration/client.js";
+import { ConfigurationClient, RevisionConflict } from "../src/configuration/client.js";
 import { isHead, isHistoryEntry, NO_OVERRIDES } from "../src/configuration/index.js";
 import { keys } from "../src/state/keys.js";
 import type { Change, Condition } from "../src/state/store.js";
@@ -139,7 +139,7 @@
   await world.clock.run(14_000);
   assert.deepEqual(await waited, []);
   const outdated = client.apply({ ...request, id: "two", change });
-  const failed = assert.rejects(outdated, Overtaken);
+  const failed = assert.rejects(outdated, RevisionConflict);
   await world.clock.run(1000);
   await failed;
   world.clocks[1]!.freeze();
@@ -195,7 +195,7 @@
   assert.equal((await answer)?.status, 200);
   assert.equal(removedPieces, 1);
   assert.ok(hasAllPieces(world));
-  assert.ok([...world.deciders().values()].every((revision) => revision === 1));
+  assert.ok([...world.revisionsInUse().values()].every((revision) => revision === 1));
   world.stop();
 });
 
--- a/test/configuration-follower.test.ts
+++ b/test/configuration-follower.test.ts
@@ -76,7 +76,7 @@
     await follower.clock.run(arrivalMs);
     const refused = arrivalMs > 12_000;
     assert.equal(follower.live.condition().version, refused ? 1 : 0);
-    assert.equal(follower.live.current, !refused);
+    assert.equal(follower.live.isCurrent, !refused);
     follower.piece(1, 0, 8);
     await follower.clock.run(1000);
     assert.equal(follower.live.effective.revision, refused ? 0 : 1);
@@ -84,6 +84,6 @@
     follower.piece(2, 0, 7);
     follower.head(2, 1);
     assert.equal(follower.live.effective.revision, 2);
-    assert.ok(follower.live.current);
+    assert.ok(follower.live.isCurrent);
   }
 });
--- a/test/configuration-world.test.ts
+++ b/test/configuration-world.test.ts
@@ -14,7 +14,7 @@
 
 const freeze = (world: ConfiguredWorld, n: number, forMs: number): void => {
   world.clocks[n]!.freeze();
-  world.trouble(forMs);
+  world.noteFaultsFor(forMs);
   world.clock.after(forMs, () => world.clocks[n]!.thaw());
 };
 
@@ -43,19 +43,19 @@
   {
     name: "answers of the store are lost, and transactions late",
     before: (world) => {
-      for (const store of world.stores) store.loss = 0.2;
+      for (const store of world.stores) store.lostTransactionShare = 0.2;
     },
     end: (world) => {
-      for (const store of world.stores) store.loss = 0;
+      for (const store of world.stores) store.lostTransactionShare = 0;
     },
   },
   {
     name: "answers to workers are late",
     before: (world) => {
-      world.answersHeld = 0.1;
+      world.lateAnswerShare = 0.1;
     },
     end: (world) => {
-      world.answersHeld = 0;
+      world.lateAnswerShare = 0;
     },
   },
 ];
@@ -67,9 +67,9 @@
     test(`configuration: limits fall and rise while ${name} (${nodes} controllers)`, async () => {
       const world = new ConfiguredWorld(40 + index, nodes);
       await world.ready();
-      world.busy(40);
+      world.submitLoad(40);
       await world.clock.run(15_000);
-      world.trouble(30_000);
+      world.noteFaultsFor(30_000);
       before?.(world);
       world.clock.after(DISTURBANCE_MS, () => end?.(world));
       const limitChanges = [world.limit("red", 6), world.limit("blue", 7, 1)];
@@ -86,7 +86,8 @@
         JSON.stringify(revisions),
       );
       assert.equal(new Set(revisions).size, revisions.length, "each is a revision of its own");
-      for (const [node, revision] of world.deciders()) assert.equal(revision, world.revision, node);
+      for (const [node, revision] of world.revisionsInUse())
+        assert.equal(revision, world.revision, node);
       assert.deepEqual(world.violations, []);
       world.stop();
     });
@@ -97,9 +98,9 @@
   test(`configuration: a revision every 100 ms for 20 s, owners end in between (${nodes} controllers)`, async () => {
     const world = new ConfiguredWorld(77, nodes);
     await world.ready();
-    world.busy(40);
+    world.submitLoad(40);
     await world.clock.run(10_000);
-    world.trouble(40_000);
+    world.noteFaultsFor(40_000);
     let left = 200;
     const changeLimits = (): void => {
       if (left-- === 0) return;
@@ -121,7 +122,8 @@
     assert.ok(lowestLevel > -2, `${lowestLevel} bursts`);
     assert.ok(world.appliedRevisions.size > 20, `${world.appliedRevisions.size} made`);
     assert.equal(world.appliedRevisions.has(world.revision), true);
-    for (const [node, revision] of world.deciders()) assert.equal(revision, world.revision, node);
+    for (const [node, revision] of world.revisionsInUse())
+      assert.equal(revision, world.revision, node);
     assert.deepEqual(world.violations, []);
     world.stop();
   });
@@ -164,7 +166,7 @@
   for (let seed = 1; seed <= 6 && brokenRules.size === 0; seed++) {
     const world = new ConfiguredWorld(seed, 3, { ignoreConditions: /^w\/c\/head$/ });
     await world.ready();
-    world.busy(40);
+    world.submitLoad(40);
     await world.clock.run(10_000);
     for (let round = 0; round < 6; round++) {
       void world.limit("red", 24, 0);
@@ -182,7 +184,7 @@
 test("configuration: an unusable revision changes nothing, stops no controller, and no use grows", async () => {
   const world = new ConfiguredWorld(9, 3);
   await world.ready();
-  world.busy(30);
+  world.submitLoad(30);
   await world.clock.run(10_000);
   const made = world.limit("red", 10);
   await world.clock.run(8000);
@@ -237,7 +239,7 @@
   assert.match(JSON.stringify(answer?.body), /n2/);
   assert.equal(world.state.rows.get(keys.schema), undefined);
   world.controllers[2] = null;
-  world.boot(2);
+  world.startController(2);
   await world.clock.run(8000);
   const made = world.limit("red", 9);
   await world.clock.run(5000);
--- a/test/contact.test.ts
+++ b/test/contact.test.ts
@@ -4,10 +4,10 @@
 import { Membership } from "../src/membership/membership.js";
 import { Mirror } from "../src/state/mirror.js";
 import { quiet } from "./support/common.js";
-import { service } from "./support/store.js";
+import { fakeStateService } from "./support/store.js";
 
 test("contact: keys read before an outage do not count as read during it", async () => {
-  const { clock, state, store } = service();
+  const { clock, state, store } = fakeStateService();
   // More than one page, so that reading can stop in the middle.
   for (let n = 0; n < 1500; n++) {
     state.transact([], [{ put: `w/x/${String(n).padStart(5, "0")}`, value: n }]);
@@ -41,7 +41,7 @@
 
 for (const late of ["of an earlier run", "of this run"] as const) {
   test(`contact: a presence record is written again if an older write ${late} is applied late`, async () => {
-    const { clock, state, store } = service();
+    const { clock, state, store } = fakeStateService();
     const mirror = new Mirror(store, clock, quiet, 1000);
     const layout = new Layout(["n0", "n1"].map((name) => ({ name, zone: "a" })));
     const handlers = { gained() {}, lost() {}, leading() {}, deposed() {} };
--- a/test/failure-large.test.ts
+++ b/test/failure-large.test.ts
@@ -27,7 +27,7 @@
   world.cloud.zoneCapacity = 23;
   world.frameLossShare = 0.05;
   world.medianFrameDelayMs = 100;
-  for (const store of world.stores) store.slowMs = 300;
+  for (const store of world.stores) store.maxExtraDelayMs = 300;
   world.submit("wk-700000", { team: "red", tasks: 40, runMs: 3_000_000 });
   const random = new Random(9);
   const stall = (): void => {
--- a/test/guests.test.ts
+++ b/test/guests.test.ts
@@ -14,7 +14,7 @@
 import { decodeFrame, encodeFrame } from "../src/peer/frames.js";
 import { FakeClock } from "./support/clock.js";
 import { quiet } from "./support/common.js";
-import { PlacingBench } from "./support/placement-bench.js";
+import { PlacementBench } from "./support/placement-bench.js";
 import { World } from "./support/world.js";
 
 const cpus = (n: number) => ({ cpus: n, gpus: 0 });
@@ -149,7 +149,7 @@
 
 test("lent capacity: a gang of guests also leaves a tenth of the part free", () => {
   const type = { cpus: 4, gpus: 0, memGb: 64, price: 1, spotPrice: 1, bootS: 10, zones: ["a"] };
-  const bench = new PlacingBench(new Map([["m4", { name: "m4", ...type }]]), null, ["guests"]);
+  const bench = new PlacementBench(new Map([["m4", { name: "m4", ...type }]]), null, ["guests"]);
   bench.ctx.isBorrower = () => true;
   for (let i = 0; i < 10; i++) bench.machine(`m${i}`, "m4", "a", true);
   const large = bench.job({ team: "guests", kind: "gang", tasks: 40 });
@@ -159,9 +159,9 @@
 });
 
 /** A part with machines of 4 CPUs, where `guests` is a borrower. */
-function benchWithBorrower(machines: number, teams: string[]): PlacingBench {
+function benchWithBorrower(machines: number, teams: string[]): PlacementBench {
   const type = { cpus: 4, gpus: 0, memGb: 64, price: 1, spotPrice: 1, bootS: 10, zones: ["a"] };
-  const bench = new PlacingBench(new Map([["m4", { name: "m4", ...type }]]), null, teams);
+  const bench = new PlacementBench(new Map([["m4", { name: "m4", ...type }]]), null, teams);
   bench.ctx.isBorrower = (team) => team === "guests";
   for (let i = 0; i < machines; i++) bench.machine(`m${i}`, "m4", "a", true);
   return bench;
@@ -183,7 +183,7 @@
   assert.deepEqual(bench.where(more), []);
   bench.clear(own);
   bench.clear(scan);
-  for (const chunk of bench.ledger.jobs.get(more)!.chunks.values()) chunk.movingTo = 1;
+  for (const chunk of bench.ledger.jobs.get(more)!.chunks.values()) chunk.handoverTarget = 1;
   bench.pass();
   assert.equal(bench.where(scan).length, 4);
   await bench.clock.run(6001);
@@ -262,13 +262,13 @@
   const metrics = new Metrics(clock, 0);
   const refusals = new Refusals(new Set(["guests"]), clock, log, metrics, 60_000);
   for (let i = 0; i < 100; i++) {
-    refusals.note(`wk-${i}`, "guests", "over the team's limit", "more than the team's limit");
+    refusals.record(`wk-${i}`, "guests", "over the team's limit", "more than the team's limit");
     // All unknown team names count as one, as anybody may send any number of them.
-    refusals.note(`wk-x${i}`, `stranger-${i}`, "unknown team", "unknown team");
+    refusals.record(`wk-x${i}`, `stranger-${i}`, "unknown team", "unknown team");
   }
   assert.equal(warned.length, 2);
   await clock.run(60_000);
-  refusals.note("wk-100", "guests", "over the team's limit", "more than the team's limit");
+  refusals.record("wk-100", "guests", "over the team's limit", "more than the team's limit");
   assert.deepEqual(warned[2], {
     job: "wk-100",
     team: "guests",
--- a/test/image-world.test.ts
+++ b/test/image-world.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { checkImage, collect, type Image, restoreImage } from "../src/image/index.js";
-import { isHeader } from "../src/jobs/job-header.js";
+import { isJobHeader } from "../src/jobs/job-header.js";
 import { Random } from "./support/random.js";
 import { World } from "./support/world.js";
 
@@ -78,12 +78,12 @@
   });
   while (!state.rows.has("w/restored")) await clock.run(10);
   // A controller that is started too early must not act on incomplete records.
-  world.boot(0);
+  world.startController(0);
   // The restore completes before workers stop their tasks.
   while (!over) await clock.run(50);
   await restoring;
   tamper(world);
-  for (let n = 1; n < world.nodes; n++) world.boot(n);
+  for (let n = 1; n < world.nodes; n++) world.startController(n);
   const sessions = [...world.workers].map(([id, { session }]) => [id, session] as const);
   // Some workers stay disconnected until shortly before they would stop their tasks.
   await clock.run(5000);
@@ -116,7 +116,7 @@
     assert.equal(records.state, "settled");
     // Every job in the image ends.
     for (const [key, { value }] of image.rows) {
-      if (!key.startsWith("w/j/") || !isHeader(value)) continue;
+      if (!key.startsWith("w/j/") || !isJobHeader(value)) continue;
       const job = world.jobs.get(key.slice(4))!;
       assert.ok(job.toldDone || job.toldCancelledAt !== null, `${job.id} has not ended`);
     }
--- a/test/image.test.ts
+++ b/test/image.test.ts
@@ -5,7 +5,7 @@
 import { test } from "node:test";
 import { gunzipSync, gzipSync } from "node:zlib";
 import { asyncBufferFromFile, parquetReadObjects } from "hyparquet";
-import { type Entry, encodeLeaf, LAST, leafKey } from "../src/archive/index.js";
+import { END_OF_RANGES, type Entry, encodeLeaf, leafKey } from "../src/archive/index.js";
 import {
   ChangesTooFast,
   checkImage,
@@ -25,7 +25,7 @@
 import type { JobOutcome } from "../src/jobs/job-outcome.js";
 import type { StateService } from "../src/local/state.js";
 import { Random } from "./support/random.js";
-import { service } from "./support/store.js";
+import { fakeStateService } from "./support/store.js";
 
 const outcomeOf = (status: JobOutcome["status"]): JobOutcome => ({
   status,
@@ -71,7 +71,7 @@
     ["wk-b", outcomeOf("cancelled")],
   ];
   rows.push([leafKey("wk-b"), encodeLeaf("", first)]);
-  rows.push([leafKey(LAST), encodeLeaf("wk-b", [["wk-c", outcomeOf("done")]])]);
+  rows.push([leafKey(END_OF_RANGES), encodeLeaf("wk-b", [["wk-c", outcomeOf("done")]])]);
   return {
     revision: 100,
     takenAt: 1_764_000_100_000,
@@ -200,7 +200,7 @@
       if (other !== key && other !== damagedKey)
         assert.deepEqual(image.rows.get(other)?.value, was);
     }
-    const target = service(1);
+    const target = fakeStateService(1);
     await target.clock.within(restoreTo(target, image));
   });
 }
@@ -212,7 +212,7 @@
   const { remaining, image: repaired } = repairImage(image);
   assert.deepEqual(
     remaining.map(({ key }) => key),
-    ["w/j/wk-open", leafKey(LAST)],
+    ["w/j/wk-open", leafKey(END_OF_RANGES)],
   );
   assert.equal(repaired.rows.get("w/j/wk-open")!.value, 7);
 });
@@ -316,7 +316,7 @@
 
 for (const seed of [1, 2, 3, 4]) {
   test(`images: have the content of one revision despite concurrent changes (seed ${seed})`, async () => {
-    const { clock, state, store } = service(seed);
+    const { clock, state, store } = fakeStateService(seed);
     const random = new Random(seed + 100);
     const history = new Map<number, string>();
     const snapshot = (): void => {
@@ -352,7 +352,7 @@
 }
 
 test("images: collection fails when changes come faster than keys can be read", async () => {
-  const { clock, state, store } = service(1);
+  const { clock, state, store } = fakeStateService(1);
   for (let i = 0; i < 2500; i++) state.transact([], [{ put: `w/${i}`, value: i }]);
   const page = store.page.bind(store);
   store.page = async (...args) => {
@@ -370,7 +370,7 @@
 const WALL_MS = 1_700_000_000_000;
 const recentImage = (): Image => ({ ...validImage(), takenAt: WALL_MS - 60_000 });
 
-const restoreTo = (target: ReturnType<typeof service>, image: Image) =>
+const restoreTo = (target: ReturnType<typeof fakeStateService>, image: Image) =>
   restoreImage(image, { store: target.store, clock: target.clock, writeRps: 80 });
 
 /** The rows that are restored: all but those of running controllers, and summaries. */
@@ -387,7 +387,7 @@
     .sort();
 
 test("restore: fills an empty service, and raises fencing tokens above all earlier ones", async () => {
-  const target = service(1);
+  const target = fakeStateService(1);
   const image = recentImage();
   const { rows, tokens } = await target.clock.within(restoreTo(target, image));
   assert.equal(rows, restoredRows(image).length);
@@ -409,13 +409,21 @@
   assert.ok(tokensAbove(image, WALL_MS, 80) > 1_000_000 + image.revision);
 });
 
-const REFUSALS: [string, (target: ReturnType<typeof service>, image: Image) => void, RegExp][] = [
+const REFUSALS: [
+  string,
+  (target: ReturnType<typeof fakeStateService>, image: Image) => void,
+  RegExp,
+][] = [
   [
     "a service that is not empty",
     ({ state }) => void state.transact([], [{ put: "w/n/x", value: 1 }]),
     /not empty: it has w\/n\/x/,
   ],
-  ["an image with findings", (_target, image) => void image.rows.delete(leafKey(LAST)), /findings/],
+  [
+    "an image with findings",
+    (_target, image) => void image.rows.delete(leafKey(END_OF_RANGES)),
+    /findings/,
+  ],
   [
     "an image from the future",
     (_target, image) => void Object.assign(image, { takenAt: WALL_MS + 100_000 }),
@@ -438,7 +446,7 @@
 ];
 for (const [what, prepare, reason] of REFUSALS) {
   test(`restore: refuses ${what}`, async () => {
-    const target = service(1);
+    const target = fakeStateService(1);
     const image = recentImage();
     prepare(target, image);
     const before = rowsOf(target.state);
@@ -456,7 +464,7 @@
 test("restore: interrupted after any request and repeated, it gives the same rows; after success it is refused", async () => {
   let ends = 0;
   for (let at = 1; ; at++) {
-    const target = service(at);
+    const target = fakeStateService(at);
     let left = at;
     const { transact, page, get } = target.store;
     const cut =
@@ -495,10 +503,10 @@
 
 test("restore: transactions without an answer that are applied late do no harm", async () => {
   for (let seed = 1; seed <= 12; seed++) {
-    const target = service(seed);
-    target.store.loss = 0.4;
+    const target = fakeStateService(seed);
+    target.store.lostTransactionShare = 0.4;
     await target.clock.within(restoreTo(target, recentImage()));
-    target.store.loss = 0;
+    target.store.lostTransactionShare = 0;
     await target.clock.run(60_000);
     assert.deepEqual(rowsOf(target.state), restoredRows(recentImage()));
   }
--- a/test/lab-results.test.ts
+++ b/test/lab-results.test.ts
@@ -125,8 +125,8 @@
     for (const [actual, expected] of [
       [fit.slope, slope],
       [fit.at0, at0],
-      [fit.power, power],
-      [fit.off, 0],
+      [fit.powerLawExponent, power],
+      [fit.maxDeviation, 0],
     ] as const)
       assert.ok(Math.abs(actual - expected) < 1e-9, `${actual} for ${expected}`);
     assert.equal(fit.points, points.length);
@@ -134,7 +134,7 @@
 }
 
 test("sweep: for points that are not on a line, deviation and power are computed", () => {
-  const { off, power } = slopeOf([
+  const { maxDeviation: off, powerLawExponent: power } = slopeOf([
     [1, 1],
     [2, 4],
     [4, 16],
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { newestOnly } from "../src/image/chunk-deduplication.js";
+import { keepNewestChunkStates } from "../src/image/chunk-deduplication.js";
 import { parseSettings, SettingsError } from "../src/settings/settings.js";
 import { Busy, storeLimits } from "../src/state/store.js";
-import { AFTER } from "./support/common.js";
-import { TEAMS, wrongs } from "./support/fault-day.js";
-import { fault } from "./support/faults.js";
+import { LIMITS_AFTER } from "./support/common.js";
+import { dayProblems, TEAMS } from "./support/fault-day.js";
+import { injectRandomFault } from "./support/faults.js";
 import { settingsFor } from "./support/platform-settings.js";
 import { Random } from "./support/random.js";
 import { World } from "./support/world.js";
@@ -74,19 +74,19 @@
   for (let n = 0; n < 20; n++) submit(random.int(1, 5), random.int(60_000, 80_000));
   await world.clock.run(45_000);
   const sizes = [...world.state.rows].map(([, { value }]) => JSON.stringify(value).length);
-  assert.ok(Math.max(...sizes) > AFTER.valueBytes, `${Math.max(...sizes)}`);
+  assert.ok(Math.max(...sizes) > LIMITS_AFTER.valueBytes, `${Math.max(...sizes)}`);
   // A presence record of an earlier build makes it seem that one is still running.
   if (withOlderPresence)
     world.state.transact([], [{ put: "w/n/ghost", value: { run: "r", shy: true } }]);
   for (let n = 0; n < 3; n++) {
     world.crash(n, 1500);
-    world.stores[n]!.limits = AFTER;
+    world.stores[n]!.limits = LIMITS_AFTER;
     await world.clock.run(6000);
   }
-  world.state.limits = AFTER;
+  world.state.limits = LIMITS_AFTER;
   for (let step = 0; step < 30; step++) {
     if (random.chance(0.4)) submit(random.int(1, 60), random.int(2000, 20_000));
-    if (withFaults && random.chance(0.2)) fault(world, random);
+    if (withFaults && random.chance(0.2)) injectRandomFault(world, random);
     await world.clock.run(3000);
   }
   await world.clock.run(330_000);
@@ -97,9 +97,9 @@
 for (const seed of [1, 2, 3]) {
   test(`limits: lowered after an upgrade, no job stalls, seed ${seed}`, async () => {
     const world = await runWithLoweredLimits(seed, seed > 1);
-    assert.deepEqual(wrongs(world), []);
+    assert.deepEqual(dayProblems(world), []);
     assert.deepEqual(
-      world.stores.flatMap(({ rejected }) => rejected),
+      world.stores.flatMap(({ rejectionMessages: rejected }) => rejected),
       [],
     );
   });
@@ -107,8 +107,8 @@
 
 test("limits: lowered while large records are still written, these are split after the first refusal", async () => {
   const world = await runWithLoweredLimits(4, false, true);
-  assert.ok(world.stores.some(({ rejected }) => rejected.length > 0));
-  assert.deepEqual(wrongs(world), []);
+  assert.ok(world.stores.some(({ rejectionMessages: rejected }) => rejected.length > 0));
+  assert.deepEqual(dayProblems(world), []);
 });
 
 for (const times of [1, 2]) {
@@ -139,7 +139,7 @@
 
 test("limits: an image has one record of each chunk, the newest one, complete", () => {
   const page = (version: number, c: object) => ({ value: { m: ["a", "b"], c }, version });
-  const rows = newestOnly(
+  const rows = keepNewestChunkStates(
     new Map<string, { value: unknown; version: number }>([
       ["c/0/p/0", page(5, { "wk-1/0": [2, "", "0.1.0,1.2.0"], "wk-2/0": [1, "", "0.1.1"] })],
       ["c/0/p/900", page(9, { "wk-1/0": [3, "0", "1.2.0"] })],
--- a/test/market-day.test.ts
+++ b/test/market-day.test.ts
@@ -14,15 +14,15 @@
 import { Mirror } from "../src/state/mirror.js";
 import { FakeClock } from "./support/clock.js";
 import { LIMITS, quiet } from "./support/common.js";
-import { MARKET, operatorsOf } from "./support/market.js";
+import { MARKET_SETTINGS, operatorsOf } from "./support/market.js";
 import { playDay, quantile } from "./support/market-days.js";
 import { Random } from "./support/random.js";
 import { FakeState, FakeStore } from "./support/store.js";
 
 test("market: own tasks wait for guests' tasks to stop no longer than the stated bound", async () => {
-  const operators = await operatorsOf(MARKET);
+  const operators = await operatorsOf(MARKET_SETTINGS);
   const day = { seed: 3, operators, guests: true, stormAt: 70_000, lengthMs: 150_000 };
-  const { market, behind, first, used } = await playDay(day);
+  const { market, waitedBehindGuestsMs: behind, first, used } = await playDay(day);
   market.world.stop();
   assert.ok(used > 0 && first.size > 20);
   // The bound of docs/market.md: 1.25 report_s until the worker receives the stop, 0.5 s until it
@@ -30,7 +30,7 @@
   // answered with the start; plus one commit and one step of this test.
   const bound = 2500 + 500 + 500 + 500 + 200;
   assert.ok(quantile(behind.values(), 1) <= bound, `${quantile(behind.values(), 1)} ms`);
-  assert.deepEqual(market.wrong, []);
+  assert.deepEqual(market.ruleViolations, []);
   assert.deepEqual(market.world.violations, []);
 });
 
@@ -103,7 +103,7 @@
   };
   const fleet = new Fleet({
     token: 1,
-    settling: () => false,
+    reconcilingRestore: () => false,
     claim: { key: "w/lead", version: 1 },
     summaries,
     cloud: {
@@ -129,11 +129,11 @@
     leaseMs: 12_000,
     dear: 1.5,
     headroom: 1,
-    yields: () => false,
-    kept: () => 16,
-    wanted: () => [],
+    isPreemptible: () => false,
+    idleCpusToKeep: () => 16,
+    capacityRequests: () => [],
     valid: () => true,
-    suits: () => false,
+    jobMatchesOffer: () => false,
   });
   // The only summary, never updated: it lists all ten machines as idle.
   summaries.offer(0, {
--- a/test/market-world.test.ts
+++ b/test/market-world.test.ts
@@ -6,13 +6,13 @@
 import type { Operators } from "../src/settings/operators.js";
 import { Mirror } from "../src/state/mirror.js";
 import { FakeClock } from "./support/clock.js";
-import { ALONE, LIMITS, quiet } from "./support/common.js";
-import { MARKET, MarketWorld, operatorsOf, TEAMS } from "./support/market.js";
+import { LIMITS, quiet, WITHOUT_CLAIMS_OR_PEERS } from "./support/common.js";
+import { MARKET_SETTINGS, MarketWorld, operatorsOf, TEAMS } from "./support/market.js";
 import { settingsFor } from "./support/platform-settings.js";
 import { Random } from "./support/random.js";
 import { FakeState, FakeStore } from "./support/store.js";
 
-const operators = await operatorsOf(MARKET);
+const operators = await operatorsOf(MARKET_SETTINGS);
 const withMarket = (): Operators => operators;
 const WORK = { team: "red", tasks: 20, cpus: 2, runMs: 8000 };
 
@@ -109,11 +109,11 @@
       const old = leader(market);
       if (old < 0) continue;
       // Its requests from now on get no answer, and half of them are applied some seconds later.
-      world.stores[old]!.loss = 1;
+      world.stores[old]!.lostTransactionShare = 1;
       await world.clock.run(700);
       world.crash(old);
       await world.clock.run(25_000);
-      world.stores[old]!.loss = 0;
+      world.stores[old]!.lostTransactionShare = 0;
     }
     assert.notEqual(market.grants.size, 0);
     await closeMarketAndCheck(market);
@@ -128,9 +128,9 @@
     const old = leader(market);
     // Only the state service refuses it, until another controller leads; then it is reachable
     // again.
-    world.stores[old]!.refused = true;
+    world.stores[old]!.unavailable = true;
     await waitUntil(market, () => leader(market) !== old, 60_000);
-    world.stores[old]!.refused = false;
+    world.stores[old]!.unavailable = false;
     void market.bid(`more-${n}`, { guest: n % 2 === 0 ? "visitor" : "institute" });
     await world.clock.run(25_000);
   }
@@ -171,12 +171,12 @@
     // stopped.
     if (left > 11_000) await world.clock.run(left - 11_000);
     assert.ok(running() > 0);
-    if (cut) for (const store of world.stores) store.cut = true;
+    if (cut) for (const store of world.stores) store.disconnected = true;
     else world.state.setOutage(true);
     await world.clock.run(Math.min(left, 11_000) + 1000);
     // The owners have stopped the tasks by their own clocks, without any message.
     assert.equal(running(), 0);
-    if (cut) for (const store of world.stores) store.cut = false;
+    if (cut) for (const store of world.stores) store.disconnected = false;
     else world.state.setOutage(false);
     await world.clock.run(20_000);
     world.cancel("wk-guest");
@@ -338,21 +338,24 @@
       const n = dice.int(0, 2);
       const store = world.stores[n]!;
       const ms = dice.int(2000, 20_000);
-      world.users.roomFrom = Math.max(world.users.roomFrom, world.clock.now() + ms + 5000);
+      world.users.checkWaitingFrom = Math.max(
+        world.users.checkWaitingFrom,
+        world.clock.now() + ms + 5000,
+      );
       switch (dice.int(0, 11)) {
         case 0:
           world.crash(n);
           break;
         case 1:
-          store.loss = 0.4;
+          store.lostTransactionShare = 0.4;
           world.clock.after(ms, () => {
-            store.loss = 0;
+            store.lostTransactionShare = 0;
           });
           break;
         case 2:
-          store.cut = true;
+          store.disconnected = true;
           world.clock.after(ms, () => {
-            store.cut = false;
+            store.disconnected = false;
           });
           break;
         case 3:
@@ -414,7 +417,7 @@
     mirror,
     layout: new Layout([{ name: "n0", zone: "a" }]),
     summaries: new Summaries(),
-    ...ALONE,
+    ...WITHOUT_CLAIMS_OR_PEERS,
     types: () => new Map(),
     staleness: () => 0,
     inspect: () => [],
@@ -443,7 +446,7 @@
 test("market: no guest's task runs in reserved hours, and no grant is cut short for them", async () => {
   // The world begins at 22:13:20 UTC.
   const hours = 'hours { name: "bulletin" starts: "17 22 * * *" lasts_s: 60 time_zone: "UTC" }';
-  const kept = await operatorsOf(MARKET.replace("growth: 1", `growth: 1\n  ${hours}`));
+  const kept = await operatorsOf(MARKET_SETTINGS.replace("growth: 1", `growth: 1\n  ${hours}`));
   const market = await openMarket(1, () => kept);
   const { world } = market;
   world.submit("wk-guest", { team: "visitor", tasks: 400, cpus: 2, runMs: 4000 });
--- a/test/market.test.ts
+++ b/test/market.test.ts
@@ -2,16 +2,21 @@
 import { createHash } from "node:crypto";
 import { test } from "node:test";
 import fc from "fast-check";
-import { plan } from "../src/cloud/rental-plan.js";
+import { planRentals } from "../src/cloud/rental-plan.js";
 import { Accounts, addCharge, chargeOf } from "../src/market/accounts.js";
 import { type Hours, windowsIn } from "../src/market/calendar.js";
 import { excludeUnusedGrants, planZone, selectGrantsToCut } from "../src/market/capacity-plan.js";
-import { type Asking, type ClearingInput, clear, slotSize } from "../src/market/clearing.js";
+import {
+  type ClearingBid,
+  type ClearingInput,
+  clearRound,
+  slotSize,
+} from "../src/market/clearing.js";
 import { DemandForecast } from "../src/market/demand-forecast.js";
 import { compareRatios, costOf, formatMicro, toMicro } from "../src/market/money.js";
 import { type Account, emptyAccount, type Grant, parseBid } from "../src/market/records.js";
 import { tieBreakOrder } from "../src/market/tie-break.js";
-import { leaving } from "../src/part/allowances.js";
+import { selectTasksToStop } from "../src/part/allowances.js";
 import { SettingsError } from "../src/settings/settings.js";
 import { Mirror } from "../src/state/mirror.js";
 import { FakeClock } from "./support/clock.js";
@@ -23,7 +28,7 @@
 // ---- clearing ------------------------------------------------------------------------------
 
 const WORTH = { gpus: 8, memGb: 0.25 };
-const asking = (bid: string, more: Partial<Asking> = {}): Asking => ({
+const asking = (bid: string, more: Partial<ClearingBid> = {}): ClearingBid => ({
   bid,
   guest: "g",
   slot: { cpus: 2, gpus: 0, memGb: 4 },
@@ -38,7 +43,7 @@
   instant: 60_000,
   lengthMs: 600_000,
   bids: [],
-  rooms: [
+  spareCapacity: [
     { zone: "a", part: 0, cpus: 8, gpus: 0, memGb: 32, count: 2 },
     { zone: "b", part: 1, cpus: 8, gpus: 0, memGb: 32, count: 2 },
   ],
@@ -47,18 +52,18 @@
     ["b", 16],
   ]),
   guests: new Map([["g", { cpus: 1000, gpus: 10, credit: 1e12 }]]),
-  worth: WORTH,
-  leastMicro: 0,
-  mostWinners: 1000,
+  coreEquivalents: WORTH,
+  minPriceMicro: 0,
+  maxWinners: 1000,
   ...more,
 });
-const slotsOf = (result: ReturnType<typeof clear>, bid: string): number =>
+const slotsOf = (result: ReturnType<typeof clearRound>, bid: string): number =>
   result.sold.filter((one) => one.bid === bid).reduce((sum, { slots }) => sum + slots, 0);
 
 const clearings: { name: string; given: Partial<ClearingInput>; want: object }[] = [
   {
     name: "all bids fit: the price is the operator's minimum, and each zone gets half",
-    given: { bids: [asking("x", { want: 6 })], leastMicro: 100_000 },
+    given: { bids: [asking("x", { want: 6 })], minPriceMicro: 100_000 },
     want: { slots: { x: 6 }, price: 200_000, zones: { a: 3, b: 3 } },
   },
   {
@@ -74,7 +79,7 @@
   },
   {
     name: "nothing is sold below the minimum price, whatever capacity is free",
-    given: { bids: [asking("x", { most: 100 })], leastMicro: 100_000 },
+    given: { bids: [asking("x", { most: 100 })], minPriceMicro: 100_000 },
     want: { slots: { x: 0 }, price: null, zones: {} },
   },
   {
@@ -109,7 +114,7 @@
     name: "a slot with a larger share of memory than of cores is priced by memory",
     given: {
       bids: [asking("x", { slot: { cpus: 1, gpus: 0, memGb: 16 }, want: 9 })],
-      leastMicro: 100_000,
+      minPriceMicro: 100_000,
     },
     want: { slots: { x: 8 }, price: 1_000_000, zones: { a: 4, b: 4 } },
   },
@@ -124,7 +129,7 @@
 for (const { name, given, want } of clearings) {
   test(`clearing: ${name}`, () => {
     const full = input(given);
-    const result = clear(full);
+    const result = clearRound(full);
     const zones: Record<string, number> = {};
     for (const { zone, slots } of result.sold) zones[zone] = (zones[zone] ?? 0) + slots;
     const slots = Object.fromEntries(full.bids.map(({ bid }) => [bid, slotsOf(result, bid)]));
@@ -170,7 +175,10 @@
 const inputOf = ({ bids, rooms, a, b, leastMicro }: ArbitraryInput): ClearingInput =>
   input({
     bids,
-    rooms: rooms.map((room) => ({ ...room, part: room.zone === "a" ? 0 : 1 + (room.part % 2) })),
+    spareCapacity: rooms.map((room) => ({
+      ...room,
+      part: room.zone === "a" ? 0 : 1 + (room.part % 2),
+    })),
     sellable: new Map([
       ["a", a],
       ["b", b],
@@ -179,7 +187,7 @@
       ["g", { cpus: 16, gpus: 0, credit: 1e12 }],
       ["h", { cpus: 1000, gpus: 0, credit: 1_500_000 }],
     ]),
-    leastMicro,
+    minPriceMicro: leastMicro,
   });
 
 test("clearing: the result does not depend on the order of the bids", () => {
@@ -190,8 +198,8 @@
         ...one,
         bids: [...one.bids.slice(turn), ...one.bids.slice(0, turn)].reverse(),
       };
-      assert.deepEqual(clear(other), { ...clear(one), tied: clear(other).tied });
-      assert.deepEqual(new Set(clear(other).tied), new Set(clear(one).tied));
+      assert.deepEqual(clearRound(other), { ...clearRound(one), tied: clearRound(other).tied });
+      assert.deepEqual(new Set(clearRound(other).tied), new Set(clearRound(one).tied));
     }),
     { seed: 1, numRuns: 300 },
   );
@@ -201,7 +209,7 @@
   fc.assert(
     fc.property(arbitraryInput, (given) => {
       const full = inputOf(given);
-      const { sold } = clear(full);
+      const { sold } = clearRound(full);
       for (const [zone, most] of full.sellable) {
         const cores = sold
           .filter((one) => one.zone === zone)
@@ -210,7 +218,7 @@
       }
       for (const part of [0, 1, 2]) {
         const here = sold.filter((one) => one.part === part);
-        const rooms = full.rooms.filter((room) => room.part === part);
+        const rooms = full.spareCapacity.filter((room) => room.part === part);
         for (const what of ["cpus", "memGb"] as const) {
           const used = here.reduce((sum, { slot, slots }) => sum + slots * slot[what], 0);
           assert.ok(used <= rooms.reduce((sum, room) => sum + room[what] * room.count, 0));
@@ -231,14 +239,14 @@
   fc.assert(
     fc.property(arbitraryInput, (given) => {
       const full = inputOf(given);
-      const result = clear(full);
-      const same = (a: Asking, b: Asking): boolean =>
+      const result = clearRound(full);
+      const same = (a: ClearingBid, b: ClearingBid): boolean =>
         JSON.stringify([a.slot, a.zone]) === JSON.stringify([b.slot, b.zone]);
       const price = new Map<string, number>();
       for (const { bid, micro, slot } of result.sold) {
         const own = full.bids.find((one) => one.bid === bid)!;
         assert.ok(micro <= own.most);
-        assert.ok(micro >= (full.leastMicro * slotSize(slot, WORTH)) / 1000 - 1);
+        assert.ok(micro >= (full.minPriceMicro * slotSize(slot, WORTH)) / 1000 - 1);
         // The price is uniform: slots of the same shape cost the same.
         const shape = JSON.stringify(slot);
         assert.equal(price.get(shape) ?? micro, micro);
@@ -262,7 +270,7 @@
       (any, pinned, most) => {
         const bids = [asking("any", { want: any })];
         if (pinned > 0) bids.push(asking("pinned", { want: pinned, zone: "a", most }));
-        const { sold } = clear(input({ bids }));
+        const { sold } = clearRound(input({ bids }));
         const inA = sold
           .filter(({ zone }) => zone === "a")
           .reduce((sum, one) => sum + one.slots, 0);
@@ -285,7 +293,7 @@
       asking("g/x", { want: 16, salt: `s${n}` }),
       asking("g/y", { want: 16, stamp: 2 }),
     ];
-    const result = clear(input({ bids, instant: 60_000 * n }));
+    const result = clearRound(input({ bids, instant: 60_000 * n }));
     const x = slotsOf(result, "g/x");
     assert.equal(x + slotsOf(result, "g/y"), 16);
     if (x === 16) first++;
@@ -301,7 +309,7 @@
 });
 
 test("draw: the order depends on the stamps and salts, which bidders cannot know", () => {
-  const winners = (change: (n: number) => Partial<Asking>): Set<string> => {
+  const winners = (change: (n: number) => Partial<ClearingBid>): Set<string> => {
     const found = new Set<string>();
     for (let n = 0; n < 40; n++) {
       found.add(tieBreakOrder(1, [asking("a/x", change(n)), asking("b/y")])[0]!);
@@ -665,7 +673,7 @@
   });
   const running = [one("a", 50), one("b", 10), one("c", 30, 5), one("d", 20, 0)];
   const names = (cpus: number, sure: boolean): string[] =>
-    leaving(running, { cpus, gpus: 0 }, sure).map(({ live }) => live.task);
+    selectTasksToStop(running, { cpus, gpus: 0 }, sure).map(({ live }) => live.task);
   assert.deepEqual(names(4, false), []);
   assert.deepEqual(names(2, false), ["b"]);
   assert.deepEqual(names(4, true), ["c"]);
@@ -715,13 +723,13 @@
       const version = state.rows.get(key)!.version;
       // Every third answer is lost, and half of those requests are applied late. Every 50 grants a
       // new leader starts without cached accounts.
-      store.loss = n % 3 === 0 ? 1 : 0;
+      store.lostTransactionShare = n % 3 === 0 ? 1 : 0;
       for (let tries = 0; state.rows.has(key); tries++) {
         assert.ok(tries < 200);
         await accounts.closeGrant(one, version, []).catch(() => undefined);
-        if (tries > 0) store.loss = 0;
+        if (tries > 0) store.lostTransactionShare = 0;
       }
-      store.loss = 0;
+      store.lostTransactionShare = 0;
       if (n % 50 === 0) accounts = new Accounts(core);
       await accounts.foldOldestPage("v").catch(() => false);
     }
@@ -762,7 +770,7 @@
   ];
   const need = { cpus: 2, gpus: 0, memGb: 4, spot: true, types: null, zone: null, count: 3 };
   const rented = (most: number): string =>
-    plan([{ ...need, most }], [], types, offers, 1)
+    planRentals([{ ...need, most }], [], types, offers, 1)
       .map(({ offer, count }) => `${offer.spot ? "spot" : "ordinary"} ${count}`)
       .join();
   assert.equal(rented(0.09), "");
--- a/test/measure/classad.ts
+++ b/test/measure/classad.ts
@@ -77,7 +77,7 @@
 }));
 globalThis.gc?.();
 const heapBefore = process.memoryUsage().heapUsed;
-for (const spec of specs) matcher.prospect(spec);
+for (const spec of specs) matcher.canMatch(spec);
 globalThis.gc?.();
 const bytesPerJob = (process.memoryUsage().heapUsed - heapBefore) / specs.length;
 process.stdout.write(
--- a/test/measure/days.ts
+++ b/test/measure/days.ts
@@ -4,7 +4,7 @@
  * each day that had any, and the count of such days. About 1.5 s of processor time a day.
  */
 import { loadOperators, withPackage } from "../../src/settings/operators.js";
-import { playFaultDay, TEAMS, wrongs } from "../support/fault-day.js";
+import { dayProblems, playFaultDay, TEAMS } from "../support/fault-day.js";
 import { settingsFor } from "../support/platform-settings.js";
 import { playVariedJobsDay } from "../support/varied-jobs-day.js";
 
@@ -14,7 +14,7 @@
 let bad = 0;
 for (let seed = Number(from); seed <= Number(to); seed++) {
   const play = kind === "varied" ? playVariedJobsDay : playFaultDay;
-  const found = wrongs(await play(seed, { nodes: Number(nodes), operators }));
+  const found = dayProblems(await play(seed, { nodes: Number(nodes), operators }));
   if (found.length === 0) continue;
   bad++;
   console.log(`seed ${seed}: ${found.slice(0, 4).join("; ")}`);
--- a/test/measure/lab-slopes.ts
+++ b/test/measure/lab-slopes.ts
@@ -32,7 +32,7 @@
       console.log(`| ${quantity} | ${values} | - | - | - | - |`);
       continue;
     }
-    const { slope, at0, off, power } = slopeOf(points);
+    const { slope, at0, maxDeviation: off, powerLawExponent: power } = slopeOf(points);
     const cells = [values, shown(slope), shown(at0), `${(100 * off).toFixed(0)}%`, shown(power)];
     console.log(`| ${quantity} | ${cells.join(" | ")} |`);
   }
