--- a/test/measure/market.ts
+++ b/test/measure/market.ts
@@ -3,14 +3,14 @@
  * Prints one line per figure; docs/market.md has them with the machine they were measured on.
  */
 
-import { type Asking, clear, type SpareRoom } from "../../src/market/clearing.js";
+import { type ClearingBid, clearRound, type SpareCapacity } from "../../src/market/clearing.js";
 import { RateLimiter } from "../../src/state/rate-limiter.js";
 import { Refused } from "../../src/state/store.js";
-import { MARKET, MarketWorld, operatorsOf } from "../support/market.js";
+import { MARKET_SETTINGS, MarketWorld, operatorsOf } from "../support/market.js";
 import { playDay, quantile } from "../support/market-days.js";
 import { Random } from "../support/random.js";
 
-const operators = await operatorsOf(MARKET);
+const operators = await operatorsOf(MARKET_SETTINGS);
 const line = (name: string, figures: Record<string, number | string>): void => {
   const text = Object.entries(figures).map(([key, value]) => `${key} ${value}`);
   process.stdout.write(`${name}: ${text.join(", ")}\n`);
@@ -45,12 +45,12 @@
         if (n === 0) delays.push(other - ms);
       }
     }
-    behind.push(...on.behind.values());
+    behind.push(...on.waitedBehindGuestsMs.values());
     idle += on.idle;
     used += on.used;
     for (const { market } of [off, empty, on]) {
       market.world.stop();
-      const wrong = [...market.world.violations, ...market.wrong];
+      const wrong = [...market.world.violations, ...market.ruleViolations];
       if (wrong.length > 0) line(`seed ${seed}`, { wrong: JSON.stringify(wrong) });
     }
   }
@@ -87,7 +87,7 @@
 
 async function bids(): Promise<void> {
   for (const changes of [30, 80]) {
-    const text = MARKET.replace("bids_a_minute: 600", "bids_a_minute: 100000").replace(
+    const text = MARKET_SETTINGS.replace("bids_a_minute: 600", "bids_a_minute: 100000").replace(
       "open_bids: 40",
       "open_bids: 10000",
     );
@@ -127,7 +127,7 @@
 function clearing(): void {
   const random = new Random(3);
   for (const machines of [450, 5000]) {
-    const rooms: SpareRoom[] = Array.from({ length: machines / 10 }, (_, n) => ({
+    const rooms: SpareCapacity[] = Array.from({ length: machines / 10 }, (_, n) => ({
       zone: n % 2 === 0 ? "a" : "b",
       part: n % 5,
       cpus: random.int(1, 32),
@@ -136,7 +136,7 @@
       count: 10,
     }));
     for (const count of [100, 1000, 10_000]) {
-      const openBids: Asking[] = Array.from({ length: count }, (_, n) => ({
+      const openBids: ClearingBid[] = Array.from({ length: count }, (_, n) => ({
         bid: `g/${n}`,
         guest: "g",
         slot: { cpus: random.pick([1, 2, 4, 8]), gpus: 0, memGb: random.pick([1, 4, 16]) },
@@ -150,19 +150,19 @@
       let soldSlots = 0;
       for (let run = 0; run < 5; run++) {
         const begin = performance.now();
-        const result = clear({
+        const result = clearRound({
           instant: 60_000,
           lengthMs: 600_000,
           bids: openBids,
-          rooms,
+          spareCapacity: rooms,
           sellable: new Map([
             ["a", 1e6],
             ["b", 1e6],
           ]),
           guests: new Map([["g", { cpus: 1e6, gpus: 0, credit: 1e15 }]]),
-          worth: { gpus: 0, memGb: 0.25 },
-          leastMicro: 0,
-          mostWinners: count,
+          coreEquivalents: { gpus: 0, memGb: 0.25 },
+          minPriceMicro: 0,
+          maxWinners: count,
         });
         times.push(performance.now() - begin);
         soldSlots = result.sold.reduce((sum, { slots }) => sum + slots, 0);
--- a/test/measure/pass.ts
+++ b/test/measure/pass.ts
@@ -5,7 +5,7 @@
 import { parseOperators } from "../../src/settings/operators.js";
 import { RecordValidator } from "../../src/state/record-validator.js";
 import { BY_REQUIREMENTS, type JobSpec } from "../../src/wire/jobs.js";
-import { PlacingBench } from "../support/placement-bench.js";
+import { PlacementBench } from "../support/placement-bench.js";
 import { settingsFor } from "../support/platform-settings.js";
 import { Random } from "../support/random.js";
 
@@ -58,7 +58,7 @@
 function measure(matcher: unknown, machines: number, jobs: number, share: number): number {
   const random = new Random(7);
   const teams = Array.from({ length: 8 }, (_, i) => `team${i}`);
-  const bench = new PlacingBench(TYPES, matcher as never, teams);
+  const bench = new PlacementBench(TYPES, matcher as never, teams);
   for (let i = 0; i < machines; i++) {
     bench.machine(`m${i}`, `t${i % 6}`, i % 2 === 0 ? "a" : "b", i % 3 !== 0);
   }
--- a/test/measure/state.ts
+++ b/test/measure/state.ts
@@ -13,7 +13,13 @@
 import { join } from "node:path";
 import { parseArgs } from "node:util";
 import { build } from "hdr-histogram-js";
-import { type Entry, encodeLeaf, LAST, leafBytes, leafKey } from "../../src/archive/index.js";
+import {
+  END_OF_RANGES,
+  type Entry,
+  encodeLeaf,
+  leafKey,
+  maxLeafBytes,
+} from "../../src/archive/index.js";
 import { HttpClient } from "../../src/http/client.js";
 import { jsonBytes } from "../../src/jobs/chunk-page.js";
 import { Platform } from "../../src/local/index.js";
@@ -80,7 +86,10 @@
     from = last;
     entries = [];
   }
-  yield [leafKey(LAST), { value: encodeLeaf(from, entries), version: 10 + count, lease: null }];
+  yield [
+    leafKey(END_OF_RANGES),
+    { value: encodeLeaf(from, entries), version: 10 + count, lease: null },
+  ];
 }
 
 interface Deployment {
@@ -98,7 +107,7 @@
     initial: 0,
     writeRps,
   });
-  const maxBytes = leafBytes({ valueBytes: 8192, txnBytes: 48 * 1024 });
+  const maxBytes = maxLeafBytes({ valueBytes: 8192, txnBytes: 48 * 1024 });
   platform.state.fill(records === "headers" ? headers(jobs) : leaves(jobs, maxBytes));
   let bytes = 0;
   for (const [key, { value }] of platform.state.rows) {
--- a/test/mixed.test.ts
+++ b/test/mixed.test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { keys } from "../src/state/keys.js";
-import { AFTER, BEFORE } from "./support/common.js";
+import { LIMITS_AFTER, LIMITS_BEFORE } from "./support/common.js";
 import { ConfiguredWorld } from "./support/configured.js";
-import { TEAMS, wrongs } from "./support/fault-day.js";
-import { fault } from "./support/faults.js";
+import { dayProblems, TEAMS } from "./support/fault-day.js";
+import { injectRandomFault } from "./support/faults.js";
 import { buildProgram, hasHistory, type Program, productionCommit } from "./support/production.js";
 import { Random } from "./support/random.js";
 import { World } from "./support/world.js";
@@ -43,7 +43,7 @@
         const id = submit(random.int(1, 50), random.int(2000, 25_000));
         if (random.chance(0.15)) world.clock.after(random.int(100, 9000), () => world.cancel(id));
       }
-      if (withFaults && random.chance(0.2)) fault(world, random);
+      if (withFaults && random.chance(0.2)) injectRandomFault(world, random);
       await world.clock.run(3000);
     }
   };
@@ -55,7 +55,7 @@
       const [n] = remaining.splice(random.int(0, remaining.length - 1), 1) as [number];
       if (to === "new") isNew.add(n);
       else isNew.delete(n);
-      world.stores[n]!.limits = to === "new" ? AFTER : BEFORE;
+      world.stores[n]!.limits = to === "new" ? LIMITS_AFTER : LIMITS_BEFORE;
       world.crash(n, random.int(200, 5000));
       await work(random.int(1, 4), true);
       // One that dies before its turn restarts with the same build.
@@ -67,7 +67,7 @@
   if (back) await replaceAll("old");
   else {
     await work(3, true);
-    world.state.limits = AFTER;
+    world.state.limits = LIMITS_AFTER;
     for (let n = 0; n < 6; n++) {
       const first = submit(random.int(1, 6), random.int(2000, 9000));
       while (!world.jobs.get(first)!.accepted) await world.clock.run(500);
@@ -93,10 +93,10 @@
     skip,
   }, async () => {
     const world = await upgradeDay(await buildProgram(commit), plan);
-    assert.deepEqual(wrongs(world), []);
+    assert.deepEqual(dayProblems(world), []);
     if (!plan.back)
       assert.deepEqual(
-        world.stores.flatMap(({ rejected }) => rejected),
+        world.stores.flatMap(({ rejectionMessages: rejected }) => rejected),
         [],
       );
   });
@@ -113,7 +113,7 @@
     await world.clock.run(10_000);
   };
   await world.ready();
-  world.busy(20);
+  world.submitLoad(20);
   await replaceLast(old);
   assert.ok(world.state.rows.has(keys.node("n2")));
   const early = world.change(0, { teams: [{ name: "red", weight: 2 }], groups: [] }, 0);
@@ -126,7 +126,7 @@
   assert.equal(await change, 1);
   // Rolled back by mistake: it holds no part and publishes no presence record.
   await replaceLast(old);
-  assert.ok(!world.deciders().has("n2"));
+  assert.ok(!world.revisionsInUse().has("n2"));
   assert.ok(!world.state.rows.has(keys.node("n2")));
   assert.deepEqual(world.violations, []);
   world.stop();
--- a/test/on-time-jobs.test.ts
+++ b/test/on-time-jobs.test.ts
@@ -7,9 +7,9 @@
 const job = (id: string, leftS: number, work: number, rank = 1, taskS = 10): DueJob => ({
   id,
   rank,
-  leftS,
-  taskS,
-  work,
+  dueInS: leftS,
+  taskEstimateS: taskS,
+  remainingCpuSeconds: work,
 });
 
 // All cases run with ten CPUs.
--- a/test/part-configuration.test.ts
+++ b/test/part-configuration.test.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { DecidingBy } from "../src/configuration/index.js";
+import type { ConfigurationInForce } from "../src/configuration/index.js";
 import { keys } from "../src/state/keys.js";
 import { Bench, header, running, spec } from "./support/part-bench.js";
 
 /** A revised configuration with the bench's limits. */
-const revised = (bench: Bench, current = true): DecidingBy => ({
+const revised = (bench: Bench, current = true): ConfigurationInForce => ({
   limits: bench.limits,
-  revised: true,
-  current,
+  hasRevision: true,
+  isCurrent: current,
   condition: () => ({
     key: keys.configurationHead,
     version: bench.mirror.rows.get(keys.configurationHead)?.version ?? 0,
@@ -48,7 +48,7 @@
   assert.deepEqual(starts, []);
   // No shortage is published, so no part stops tasks for quota that does not exist.
   assert.deepEqual(
-    bench.announced.map(({ short }) => short).filter(({ red }) => red),
+    bench.publishedSummaries.map(({ short }) => short).filter(({ red }) => red),
     [],
   );
   // The other part gives up quota beyond its share, and this one starts tasks again.
--- a/test/part-quota.test.ts
+++ b/test/part-quota.test.ts
@@ -181,7 +181,7 @@
     await rounds(1, 10);
     assert.equal([...lists.values()].flat().length, 8);
     const urgent = { ...spec, rank, cpus, tasks: 2 };
-    if (onTime) bench.timely.add("wk-000002");
+    if (onTime) bench.onTimeJobs.add("wk-000002");
     bench.put({
       put: "w/j/wk-000002",
       value: header({ spec: urgent, tasks: 2, chunkSize: 2 }),
--- a/test/part-records.test.ts
+++ b/test/part-records.test.ts
@@ -121,7 +121,7 @@
       [...bench.state.rows.keys()].filter((key) => key.startsWith("c/0/p/")),
       [],
     );
-    assert.deepEqual(bench.store.rejected, []);
+    assert.deepEqual(bench.store.rejectionMessages, []);
   });
 }
 
--- a/test/part.test.ts
+++ b/test/part.test.ts
@@ -115,9 +115,9 @@
   bench.put(PLACED);
   await bench.takeOver();
   const forget = { verb: "clear", piece: "wk-000001/0", try: 1 };
-  bench.store.cut = true;
+  bench.store.disconnected = true;
   assert.deepEqual(await bench.report("old", { seq: 2, tasks: [exited("done")] }), []);
-  bench.store.cut = false;
+  bench.store.disconnected = false;
   let commands: Command[] = [];
   for (let seq = 3; seq < 20 && commands.length === 0; seq++) {
     await bench.clock.run(1000);
@@ -201,14 +201,14 @@
     const first = await bench.report("old", { seq: 2, tasks });
     assert.ok(first.every(({ verb }) => verb !== "stop"));
     const version = bench.mirror.rows.get("w/j/wk-000001")!.version + ahead;
-    bench.store.refused = true;
+    bench.store.unavailable = true;
     bench.part.tell({ kind: "called off", id: "wk-000001", version });
     if (again === true) {
-      bench.store.refused = false;
+      bench.store.unavailable = false;
       bench.put({ put: "w/j/wk-000001", value: header({ tasks: 2, owners: "00" }) });
     }
     const commands = await bench.report("old", { seq: 3, tasks });
-    bench.store.refused = false;
+    bench.store.unavailable = false;
     for (let seq = 4; seq < 12; seq++) {
       await bench.clock.run(500);
       commands.push(...(await bench.report("old", { seq, tasks })));
@@ -230,9 +230,9 @@
   bench.put({ put: "w/j/wk-000001", value: header() });
   await bench.clock.run(100);
   const job = bench.part.jobs.get("wk-000001")!;
-  job.chunks.get(0)!.movingTo = 1;
+  job.chunks.get(0)!.handoverTarget = 1;
   // It leaves, and the answer is lost. The other part has no free resources either and hands it back.
-  bench.store.unheard = 1;
+  bench.store.lostAnswerShare = 1;
   bench.part.tell({ kind: "header", id: "wk-000001", header: job.header });
   await bench.clock.run(400);
   const headerAfterLeaving = bench.state.rows.get("w/j/wk-000001")?.value as {
@@ -240,7 +240,7 @@
     moves: number;
   };
   assert.deepEqual([headerAfterLeaving.owners, headerAfterLeaving.moves], ["1", 1]);
-  bench.store.unheard = 0;
+  bench.store.lostAnswerShare = 0;
   bench.put({ put: "w/j/wk-000001", value: header({ moves: 2 }) });
   await bench.report("new", { token: 1 });
   let started = false;
--- a/test/pipeline.test.ts
+++ b/test/pipeline.test.ts
@@ -10,8 +10,8 @@
 } from "../src/pipeline/index.js";
 import { BY_REQUIREMENTS, parseSubmission } from "../src/wire/jobs.js";
 import { kindAllowed } from "../src/workers/machine.js";
-import { TEAMS, wrongs } from "./support/fault-day.js";
-import { fault } from "./support/faults.js";
+import { dayProblems, TEAMS } from "./support/fault-day.js";
+import { injectRandomFault } from "./support/faults.js";
 import { Random } from "./support/random.js";
 import { World } from "./support/world.js";
 
@@ -273,7 +273,7 @@
       };
       submitNext();
     }
-    if (withFaults && random.chance(0.25)) fault(world, random);
+    if (withFaults && random.chance(0.25)) injectRandomFault(world, random);
     await world.clock.run(3000);
   }
   await world.clock.run(300_000);
@@ -284,7 +284,7 @@
 for (const seed of [1, 2, 3, 4]) {
   test(`pipeline: a simulated day, with faults from seed 2 on, seed ${seed}`, async () => {
     const world = await pipelineDay(seed, seed > 1);
-    assert.deepEqual(wrongs(world), []);
+    assert.deepEqual(dayProblems(world), []);
     const after = [...world.jobs.values()].filter(({ awaits }) => awaits.length > 0);
     assert.ok(after.some(({ toldDone }) => toldDone));
     assert.ok(
--- a/test/questions.test.ts
+++ b/test/questions.test.ts
@@ -4,11 +4,11 @@
 import { RetryAfterQueue } from "../src/state/retry-after.js";
 import { FakeClock } from "./support/clock.js";
 import { quiet } from "./support/common.js";
-import { service } from "./support/store.js";
+import { fakeStateService } from "./support/store.js";
 import { World } from "./support/world.js";
 
 async function startMirror(seed = 1) {
-  const { clock, state, store } = service(seed);
+  const { clock, state, store } = fakeStateService(seed);
   const mirror = new Mirror(store, clock, quiet, 1000);
   void mirror.run();
   await clock.run(200);
@@ -73,7 +73,7 @@
   await clock.run(1500);
   assert.equal(answered, 1000);
   assert.ok(asked() - before <= 14, `${asked() - before} requests for 1000 questions`);
-  store.refused = true;
+  store.unavailable = true;
   let failed = 0;
   for (let i = 0; i < 50; i++) void mirror.waitUntilCurrent().catch(() => failed++);
   await clock.run(500);
@@ -189,7 +189,7 @@
     await world.clock.run(2000);
     const body = { ...job.body, ...(accepted ? {} : { uid: "wk-400001" }), ...changes };
     // Every node must know of the accepted job at once.
-    if (cut) world.stores[1]!.refused = true;
+    if (cut) world.stores[1]!.unavailable = true;
     for (const n of cut ? [1] : [0, 1, 2]) {
       const answer = await world.clock.within(world.ask(n, "POST", "/api/jobs", body), 10_000);
       assert.equal(answer?.status, status);
--- a/test/quota.test.ts
+++ b/test/quota.test.ts
@@ -2,7 +2,12 @@
 import { test } from "node:test";
 import fc from "fast-check";
 import type { Amounts } from "../src/fair/share.js";
-import { limitOf, limitsOf, shownLimit, teamConfigErrors } from "../src/quota/limits.js";
+import {
+  limitForJson,
+  limitFromSetting,
+  limitsByTeam,
+  teamConfigErrors,
+} from "../src/quota/limits.js";
 import {
   isSliceRecord,
   readSlices,
@@ -175,7 +180,7 @@
 });
 
 test("quota: a resource without a limit has no slices, and no infinite value is written", () => {
-  const limit: Amounts = { cpus: limitOf(0), gpus: 4 };
+  const limit: Amounts = { cpus: limitFromSetting(0), gpus: 4 };
   const next = resizeSlice({ 1: [0, 1] }, 0, { cpus: 1e9, gpus: 9 }, limit);
   assert.deepEqual(next, { 0: [0, 3], 1: [0, 1] });
   assert.ok(isSliceRecord(next));
@@ -184,12 +189,18 @@
 
 test("limits: a limit of 0 in the settings means no limit, a guarantee of 0 means none", () => {
   const teams = [
-    { name: "guests", cpus: 0, gpus: 0, cpus_max: limitOf(0), gpus_max: limitOf(0) },
-    { name: "red", cpus: 30, gpus: 0, cpus_max: 20, gpus_max: limitOf(0) },
+    {
+      name: "guests",
+      cpus: 0,
+      gpus: 0,
+      cpus_max: limitFromSetting(0),
+      gpus_max: limitFromSetting(0),
+    },
+    { name: "red", cpus: 30, gpus: 0, cpus_max: 20, gpus_max: limitFromSetting(0) },
   ];
-  const limits = limitsOf(teams);
-  assert.deepEqual(shownLimit(limits.get("guests")!), { cpus: null, gpus: null });
-  assert.deepEqual(shownLimit(limits.get("red")!), { cpus: 20, gpus: null });
+  const limits = limitsByTeam(teams);
+  assert.deepEqual(limitForJson(limits.get("guests")!), { cpus: null, gpus: null });
+  assert.deepEqual(limitForJson(limits.get("red")!), { cpus: 20, gpus: null });
   assert.deepEqual(
     teamConfigErrors(teams).map(({ team }) => team),
     ["red"],
--- a/test/report-classification.test.ts
+++ b/test/report-classification.test.ts
@@ -13,7 +13,7 @@
 
 /** A machine whose newest report came `agoMs` ago, by default under our token. */
 const known = (agoMs: number, more: Partial<MachineReportState> = {}): MachineReportState => ({
-  latest: { session: 2, seq: 40 },
+  latestReport: { session: 2, seq: 40 },
   hasOurToken: true,
   lastSeen: NOW - agoMs,
   ...more,
@@ -53,7 +53,7 @@
   },
   {
     name: "a copy that reaches a new owner before any other report: it proves nothing",
-    known: { latest: null, hasOurToken: false, lastSeen: 0 },
+    known: { latestReport: null, hasOurToken: false, lastSeen: 0 },
     report: [2, 39, 5],
     expected: { kind: "unaware" },
   },
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -5,18 +5,18 @@
 import { Mirror } from "../src/state/mirror.js";
 import { FakeClock } from "./support/clock.js";
 import { LIMITS, quiet } from "./support/common.js";
-import { playFaultDay, TEAMS, wrongs } from "./support/fault-day.js";
-import { fault } from "./support/faults.js";
+import { dayProblems, playFaultDay, TEAMS } from "./support/fault-day.js";
+import { injectRandomFault } from "./support/faults.js";
 import { NodeClock } from "./support/node-clock.js";
 import { Random } from "./support/random.js";
 import { FakeState, FakeStore } from "./support/store.js";
 import { playVariedJobsDay } from "./support/varied-jobs-day.js";
-import { type Sabotage, World } from "./support/world.js";
+import { type DisabledGuards, World } from "./support/world.js";
 
 for (const seed of [1, 2, 3, 4, 5, 6]) {
   test(`rules: a day of faults, seed ${seed}`, async () => {
     const world = await playFaultDay(seed);
-    assert.deepEqual(wrongs(world), []);
+    assert.deepEqual(dayProblems(world), []);
     assert.ok(world.startedTasks > 30, `${world.startedTasks} tasks started`);
   });
 }
@@ -29,7 +29,7 @@
 ] as const) {
   test(`rules: a day of all kinds of jobs in two zones, seed ${seed}, ${nodes} controllers`, async () => {
     const world = await playVariedJobsDay(seed, { nodes });
-    assert.deepEqual(wrongs(world), []);
+    assert.deepEqual(dayProblems(world), []);
     assert.ok(world.startedTasks > 25, `${world.startedTasks} tasks started`);
   });
 }
@@ -37,7 +37,7 @@
 test("rules: a job that fits no machine does not block its team's limit for others", async () => {
   // Guards against a fault found with this seed: most of a team's limit was unused for two minutes.
   const world = await playFaultDay(2023, { nodes: 5 });
-  assert.deepEqual(wrongs(world), []);
+  assert.deepEqual(dayProblems(world), []);
 });
 
 const GUESTS = { name: "guests", cpus: 0, max: 0 };
@@ -63,7 +63,7 @@
         };
         world.state.transact([], [{ put: "w/q/red", value }]);
       }
-      if (random.chance(0.2)) fault(world, random);
+      if (random.chance(0.2)) injectRandomFault(world, random);
       await world.clock.run(3000);
     }
     await world.clock.run(300_000);
@@ -141,8 +141,8 @@
     await world.clock.run(100_000);
     world.stop();
     assert.ok(
-      wrongs(world).some((wrong) => found.test(wrong)),
-      wrongs(world).join("\n"),
+      dayProblems(world).some((wrong) => found.test(wrong)),
+      dayProblems(world).join("\n"),
     );
   });
 }
@@ -172,7 +172,7 @@
 });
 
 // Without a guard, the same days must violate a rule; otherwise they would prove nothing.
-const guards: { name: string; sabotage: Sabotage }[] = [
+const guards: { name: string; sabotage: DisabledGuards }[] = [
   { name: "writes that depend on what was read", sabotage: { ignoreConditions: true } },
   { name: "reports in the order they were sent", sabotage: { freshenReports: true } },
 ];
@@ -276,7 +276,7 @@
     assert.deepEqual([[...first.owned.keys()], [...second.owned.keys()]], [[0], [1]]);
     const setFault = (on: boolean): void => {
       if (what === "an outage") state.setOutage(on);
-      else members[0]!.store.cut = on;
+      else members[0]!.store.disconnected = on;
     };
     setFault(true);
     first.relinquish([0], 60_000, "machines do not reach us").catch(() => undefined);
--- a/test/submit-corpus.test.ts
+++ b/test/submit-corpus.test.ts
@@ -5,7 +5,7 @@
 import { Ad, parseExpression, print } from "../src/classad/index.js";
 import { planCluster, SubmitError, submissionBodies } from "../src/submit/index.js";
 import { parseSubmission } from "../src/wire/jobs.js";
-import { PlacingBench } from "./support/placement-bench.js";
+import { PlacementBench } from "./support/placement-bench.js";
 import { corpusWorld, createMatcher, machineType } from "./support/submit.js";
 
 const BASE = join(import.meta.dirname, "../../test/corpus/submit");
@@ -109,7 +109,7 @@
       if (plan.requirements !== "") {
         assert.equal(print(parseExpression(plan.requirements)), plan.requirements);
       }
-      const bench = new PlacingBench(TYPES, { ...matcherWithoutHolds, cannotStart: () => false });
+      const bench = new PlacementBench(TYPES, { ...matcherWithoutHolds, cannotStart: () => false });
       for (const machine of MACHINES) bench.machine(...machine);
       const id = bench.job({ ...parsed.value.spec, team: "red", tasks: 1 });
       bench.pass();
--- a/test/submit-world.test.ts
+++ b/test/submit-world.test.ts
@@ -4,7 +4,7 @@
 import type { Operators } from "../src/settings/operators.js";
 import { parseOperators } from "../src/settings/operators.js";
 import { ClusterWorld, TEAMS, ZONES } from "./support/clusters.js";
-import { MARKET } from "./support/market.js";
+import { MARKET_SETTINGS } from "./support/market.js";
 import { settingsFor } from "./support/platform-settings.js";
 import { Random } from "./support/random.js";
 import type { World } from "./support/world.js";
@@ -236,7 +236,7 @@
   world.jobs.get("wk-c1.0")!.fails = true;
   await clusters.runUntilSettled(asked);
   let starts = 0;
-  world.judge = (piece) => {
+  world.findStartViolation = (piece) => {
     if (piece === "wk-c1.0/0") starts++;
     return null;
   };
@@ -359,7 +359,7 @@
   const both = await parseOperators(
     [
       { file: "site", text: OPERATOR_SETTINGS },
-      { file: "market", text: MARKET },
+      { file: "market", text: MARKET_SETTINGS },
     ],
     settingsFor(0, 3, TEAMS, ZONES),
   );
@@ -431,9 +431,9 @@
     if (random.chance(0.15)) world.crash(random.int(0, 2), random.int(2000, 10_000));
     if (random.chance(0.1)) {
       const store = world.stores[random.int(0, 2)]!;
-      store.loss = 0.3;
+      store.lostTransactionShare = 0.3;
       world.clock.after(random.int(3000, 20_000), () => {
-        store.loss = 0;
+        store.lostTransactionShare = 0;
       });
     }
     if (random.chance(0.06)) {
--- a/test/submit.test.ts
+++ b/test/submit.test.ts
@@ -3,7 +3,7 @@
 import { join } from "node:path";
 import { test } from "node:test";
 import { Ad } from "../src/classad/index.js";
-import { plan } from "../src/cloud/rental-plan.js";
+import { planRentals } from "../src/cloud/rental-plan.js";
 import type { JobHeader } from "../src/jobs/job-header.js";
 import type { KindCapacity, Summary } from "../src/part/summary.js";
 import { decodeFrame, encodeFrame } from "../src/peer/frames.js";
@@ -25,7 +25,7 @@
 import { BY_REQUIREMENTS, type JobSpec, parseSubmission } from "../src/wire/jobs.js";
 import { kindAllowed, typeFits } from "../src/workers/machine.js";
 import { PlacementConstraints } from "../src/workers/placement-constraints.js";
-import { PlacingBench, plainSpec } from "./support/placement-bench.js";
+import { PlacementBench, plainSpec } from "./support/placement-bench.js";
 import { createMatcher, loadExtension, machineType, NOW, textWorld } from "./support/submit.js";
 
 const TYPES = new Map(
@@ -54,7 +54,7 @@
 const kindOf = (type: string, zone = "north", spot = true) => ({ type, zone, spot });
 
 test("matching: expressions on free resources are evaluated again while a job waits", () => {
-  const bench = new PlacingBench(TYPES, matcherOfSite);
+  const bench = new PlacementBench(TYPES, matcherOfSite);
   bench.machine("big-1", "big", "north", true);
   const filler = bench.job({ cpus: 8, tasks: 3 });
   bench.pass();
@@ -64,7 +64,7 @@
   bench.pass();
   assert.deepEqual(bench.where(waits), []);
   bench.clear(filler);
-  for (const chunk of bench.ledger.jobs.get(filler)!.chunks.values()) chunk.movingTo = 1;
+  for (const chunk of bench.ledger.jobs.get(filler)!.chunks.values()) chunk.handoverTarget = 1;
   bench.pass();
   // The first job is placed, so the machine is not empty for the second.
   assert.deepEqual(bench.where(waits), ["big-1"]);
@@ -77,7 +77,7 @@
     [false, ["big-n", "big-s"]],
     [true, []],
   ] as const) {
-    const bench = new PlacingBench(TYPES, matcherOfSite);
+    const bench = new PlacementBench(TYPES, matcherOfSite);
     for (const zone of ["north", "south"]) {
       bench.machine(`big-${zone[0]}`, "big", zone, true);
       for (let i = 0; i < 12; i++) bench.machine(`small-${zone}-${i}`, "small", zone, true);
@@ -89,7 +89,7 @@
 });
 
 test("matching: a gang takes the machines that it ranks highest", () => {
-  const bench = new PlacingBench(TYPES, matcherOfSite);
+  const bench = new PlacementBench(TYPES, matcherOfSite);
   for (const [name, type] of [
     ["s1", "small"],
     ["b1", "big"],
@@ -110,7 +110,7 @@
 
 test("rank orders machines, never jobs or teams: the same tasks start with it and without", () => {
   const order = (rank: string): string[] => {
-    const bench = new PlacingBench(TYPES, matcherOfSite, ["red", "blue"]);
+    const bench = new PlacementBench(TYPES, matcherOfSite, ["red", "blue"]);
     bench.machine("s1", "small", "north", false);
     bench.machine("s2", "small", "north", true);
     const red = bench.job(specWithExpressions("", rank, "", { team: "red", tasks: 6 }));
@@ -141,12 +141,12 @@
   };
   const suits = (_: string, { type, zone, spot }: (typeof offers)[number]): boolean =>
     places.allows(spec, { type: type.name, zone, spot });
-  const wishes = plan([need], [], TYPES, offers, 50, suits);
+  const wishes = planRentals([need], [], TYPES, offers, 50, suits);
   assert.deepEqual(
     wishes.map(({ offer }) => offer.spot),
     [true],
   );
-  const only = plan([need], [], TYPES, offers, 50, (_, { type }) => type.name === "big");
+  const only = planRentals([need], [], TYPES, offers, 50, (_, { type }) => type.name === "big");
   assert.deepEqual(
     only.map(({ offer }) => offer.type.name),
     ["big"],
@@ -166,7 +166,7 @@
   }
   const offers = [...TYPES.values()].map((type) => ({ type, zone: "north", spot: true, price: 1 }));
   const need = { cpus: 1, gpus: 0, memGb: 1, spot: true, types: seen.types, zone: null, count: 2 };
-  assert.deepEqual(plan([need], [], TYPES, offers, 50), []);
+  assert.deepEqual(planRentals([need], [], TYPES, offers, 50), []);
   // It would accept a job that also names machine types, so every version refuses such a job.
   const body = { ad: "[]", builds: ["small"] };
   const whole = {
@@ -239,7 +239,7 @@
 });
 
 test("operators' attributes that depend on free resources change with them", () => {
-  const bench = new PlacingBench(TYPES, matcherOfSite);
+  const bench = new PlacementBench(TYPES, matcherOfSite);
   bench.machine("s1", "small", "north", true);
   const first = bench.job(specWithExpressions("Busy == false"));
   const second = bench.job(specWithExpressions("Busy == false"));
@@ -254,7 +254,7 @@
 
 test("match results of one team's job are not used for another team's job", async () => {
   const start = `submit { machine { type: "small" start: "TARGET.Team == \\"blue\\"" } }`;
-  const bench = new PlacingBench(TYPES, await createMatcher(start, TYPES), ["red", "blue"]);
+  const bench = new PlacementBench(TYPES, await createMatcher(start, TYPES), ["red", "blue"]);
   bench.machine("s1", "small", "north", true);
   const red = bench.job(specWithExpressions("true", "", "", { team: "red" }));
   const blue = bench.job(specWithExpressions("true", "", "", { team: "blue" }));
--- a/test/support/clusters.ts
+++ b/test/support/clusters.ts
@@ -40,7 +40,7 @@
   ) {
     this.world = new World(seed, nodes, TEAMS, capacity, {}, ZONES, operators, 60);
     this.world.cloud.builds = BUILDS;
-    this.world.judge = (piece, on) => this.#startViolation(piece, on);
+    this.world.findStartViolation = (piece, on) => this.#startViolation(piece, on);
   }
 
   /**
@@ -77,15 +77,18 @@
     const call = async (method: string, path: string, body?: unknown): Promise<Answer> => {
       const job =
         method === "POST" && path === "/api/jobs"
-          ? world.users.adopt(body as Record<string, unknown>)
+          ? world.users.addSubmittedJob(body as Record<string, unknown>)
           : null;
       const n = world.random.int(0, world.nodes - 1);
-      const answer = world.deaf.has(n) ? null : await world.ask(n, method, path, body as object);
+      const answer = world.unreachableControllers.has(n)
+        ? null
+        : await world.ask(n, method, path, body as object);
       if (answer === null || this.losesAnswer(path)) {
         await world.sleep(1000);
         throw new NoAnswer("no answer: controller unreachable or answer lost");
       }
-      if (job !== null && (answer.status === 201 || answer.status === 200)) world.users.follow(job);
+      if (job !== null && (answer.status === 201 || answer.status === 200))
+        world.users.startPolling(job);
       return answer;
     };
     return new SubmitClient("none", world.clock, { call } as never, patienceMs);
--- a/test/support/common.ts
+++ b/test/support/common.ts
@@ -1,4 +1,4 @@
-import type { DecidingBy } from "../../src/configuration/index.js";
+import type { ConfigurationInForce } from "../../src/configuration/index.js";
 import type { Core } from "../../src/extension/index.js";
 import type { Reply } from "../../src/http/server.js";
 import type { Log } from "../../src/log.js";
@@ -19,10 +19,10 @@
 };
 
 /** The configuration before its first revision. */
-export const NEVER_REVISED: DecidingBy = {
+export const INITIAL_CONFIGURATION: ConfigurationInForce = {
   limits: new Map(),
-  revised: false,
-  current: true,
+  hasRevision: false,
+  isCurrent: true,
   condition: () => ({ key: keys.configurationHead, version: 0 }),
 };
 
@@ -31,7 +31,7 @@
   encoded === undefined ? (body === undefined ? undefined : decode(encode(body))) : decode(encoded);
 
 /** Claims and peers of a controller without parts and peers, for packages that need neither. */
-export const ALONE: Pick<Core, "claims" | "peers"> = {
+export const WITHOUT_CLAIMS_OR_PEERS: Pick<Core, "claims" | "peers"> = {
   claims: {
     run: "r",
     get stability(): never {
@@ -40,7 +40,7 @@
     valid: () => true,
     lease: () => null,
     ownerOf: () => null,
-    served: () => [],
+    servedParts: () => [],
     reassign: () => Promise.resolve(false),
     relinquish: () => Promise.resolve(),
   },
@@ -48,11 +48,11 @@
 };
 
 /** Limits of a platform before its state service reduces them, and after. */
-export const BEFORE: StoreLimits = { ...LIMITS, rps: 200, writeRps: 60 };
-export const AFTER: StoreLimits = {
-  ...BEFORE,
+export const LIMITS_BEFORE: StoreLimits = { ...LIMITS, rps: 200, writeRps: 60 };
+export const LIMITS_AFTER: StoreLimits = {
+  ...LIMITS_BEFORE,
   ops: 4,
   conditions: 16,
   valueBytes: 1024,
-  wideBytes: BEFORE.valueBytes,
+  wideBytes: LIMITS_BEFORE.valueBytes,
 };
--- a/test/support/configured.ts
+++ b/test/support/configured.ts
@@ -7,13 +7,13 @@
 } from "../../src/configuration/index.js";
 import type { Answer } from "../../src/http/client.js";
 import { readPage } from "../../src/jobs/chunk-page.js";
-import { isHeader } from "../../src/jobs/job-header.js";
+import { isJobHeader } from "../../src/jobs/job-header.js";
 import { readSlices } from "../../src/quota/slices.js";
 import { defaultTuning } from "../../src/settings/tuning.js";
 import { keys } from "../../src/state/keys.js";
 import type { StoreLimits } from "../../src/state/store.js";
 import { settingsFor } from "./platform-settings.js";
-import { type Sabotage, World } from "./world.js";
+import { type DisabledGuards, World } from "./world.js";
 
 export const TEAMS = [
   { name: "red", cpus: 12, max: 24 },
@@ -47,7 +47,7 @@
   constructor(
     seed: number,
     nodes: number,
-    sabotage: Sabotage = {},
+    sabotage: DisabledGuards = {},
     teams = TEAMS,
     limits: Partial<StoreLimits> = {},
   ) {
@@ -77,7 +77,7 @@
       for (const [name, { live }] of readPage(value) ?? []) {
         const id = name.slice(0, name.lastIndexOf("/"));
         const header = this.state.rows.get(keys.job(id))?.value;
-        const spec = isHeader(header) ? header.spec : undefined;
+        const spec = isJobHeader(header) ? header.spec : undefined;
         if (spec !== undefined) amounts.get(spec.team)!.placed += live.length * spec.cpus;
       }
     }
@@ -96,7 +96,7 @@
       const earlier = before.get(team)!;
       for (const what of ["placed", "slices"] as const) {
         if (current[what] > limit + EPSILON && current[what] > earlier[what] + EPSILON)
-          this.broken(
+          this.recordViolation(
             "limit in force",
             `${team} ${what} ${earlier[what]} -> ${current[what]} of ${limit}`,
           );
@@ -137,7 +137,10 @@
     );
     const highestLimit = Math.max(...bounds.map(({ limit }) => limit));
     if (use > highestLimit + EPSILON)
-      this.broken("overtaken revision", `${piece}: ${team} uses ${use} of ${highestLimit}`);
+      this.recordViolation(
+        "overtaken revision",
+        `${piece}: ${team} uses ${use} of ${highestLimit}`,
+      );
   }
 
   /** Longest time from a commit until no task starts under an older revision: a lease. */
@@ -148,7 +151,7 @@
   /** Waits until revisions may be made. */
   async ready(): Promise<void> {
     for (let n = 0; n < 100; n++) {
-      if (this.state.rows.has(keys.leader) && this.deciders().size === this.nodes) return;
+      if (this.state.rows.has(keys.leader) && this.revisionsInUse().size === this.nodes) return;
       await this.clock.run(500);
     }
     throw new Error("not all parts have an owner");
@@ -184,7 +187,7 @@
   }
 
   /** The revision that each controller with a part has published. */
-  deciders(): Map<string, number | null> {
+  revisionsInUse(): Map<string, number | null> {
     const found = new Map<string, number | null>();
     for (let part = 0; part < this.nodes; part++) {
       const claim = this.state.rows.get(keys.claim(part))?.value as { node?: string } | undefined;
@@ -198,7 +201,7 @@
   }
 
   /** Submits enough small tasks to keep both teams at their limits for some time. */
-  busy(jobs: number): void {
+  submitLoad(jobs: number): void {
     for (let n = 0; n < jobs; n++) {
       const team = TEAMS[n % TEAMS.length]!.name;
       this.submit(`wk-${String(n).padStart(4, "0")}`, {
--- a/test/support/day-checks.ts
+++ b/test/support/day-checks.ts
@@ -54,8 +54,14 @@
       );
     if (!waits) job.stall = null;
     else if (job.stall === null || job.stall.starts !== starts) job.stall = { since: now, starts };
-    else if (now - Math.max(job.stall.since, users.faultsEndAt, users.roomFrom) > MAX_WAIT_MS) {
-      world.broken("waiting", `${job.id}: nothing of it has started since ${job.stall.since}`);
+    else if (
+      now - Math.max(job.stall.since, users.faultsEndAt, users.checkWaitingFrom) >
+      MAX_WAIT_MS
+    ) {
+      world.recordViolation(
+        "waiting",
+        `${job.id}: nothing of it has started since ${job.stall.since}`,
+      );
       job.stall = null;
     }
   }
--- a/test/support/failover.ts
+++ b/test/support/failover.ts
@@ -37,8 +37,8 @@
   );
 
 const setUnreachable = (world: World, on: boolean): void => {
-  if (on) world.deaf.add(TARGET);
-  else world.deaf.delete(TARGET);
+  if (on) world.unreachableControllers.add(TARGET);
+  else world.unreachableControllers.delete(TARGET);
 };
 
 /** Blocks routes from one end to another: controllers by number, workers by zone. */
@@ -76,19 +76,19 @@
   "cut from the network": {
     begin: forDuration((world, on) => {
       setUnreachable(world, on);
-      world.stores[TARGET]!.cut = on;
+      world.stores[TARGET]!.disconnected = on;
     }),
     affectedParts: [TARGET],
   },
   "cut from the store": {
     begin: forDuration((world, on) => {
-      world.stores[TARGET]!.cut = on;
+      world.stores[TARGET]!.disconnected = on;
     }),
     affectedParts: [TARGET],
   },
   "refused by the store": {
     begin: forDuration((world, on) => {
-      world.stores[TARGET]!.refused = on;
+      world.stores[TARGET]!.unavailable = on;
     }),
     affectedParts: [TARGET],
   },
@@ -131,7 +131,7 @@
   },
   "a store that is slow for all": {
     begin: forDuration((world, on) => {
-      for (const store of world.stores) store.slowMs = on ? 600 : 0;
+      for (const store of world.stores) store.maxExtraDelayMs = on ? 600 : 0;
     }),
     affectedParts: [],
   },
--- a/test/support/fault-day.ts
+++ b/test/support/fault-day.ts
@@ -1,8 +1,8 @@
 import type { Operators } from "../../src/settings/operators.js";
 import { unmetDayTargets } from "./day-checks.js";
-import { fault } from "./faults.js";
+import { injectRandomFault } from "./faults.js";
 import { Random } from "./random.js";
-import { type Sabotage, World } from "./world.js";
+import { type DisabledGuards, World } from "./world.js";
 
 export const TEAMS = [
   { name: "red", cpus: 12, max: 20 },
@@ -10,7 +10,7 @@
 ];
 
 export interface DayPlan {
-  sabotage?: Sabotage;
+  sabotage?: DisabledGuards;
   nodes?: number;
   operators?: Partial<Operators>;
 }
@@ -36,7 +36,7 @@
       });
       if (random.chance(0.2)) world.clock.after(random.int(100, 20_000), () => world.cancel(id));
     }
-    if (random.chance(0.25)) fault(world, random);
+    if (random.chance(0.25)) injectRandomFault(world, random);
     await world.clock.run(3000);
   }
   await world.clock.run(300_000);
@@ -45,7 +45,7 @@
 }
 
 /** All problems of a day: violated rules, the operators' checks, jobs that never ended. */
-export function wrongs(world: World): string[] {
+export function dayProblems(world: World): string[] {
   return [
     ...world.violations.map(({ rule, at, detail }) => `${rule} at ${at}: ${detail}`),
     ...unmetDayTargets(world),
--- a/test/support/fault-scenarios.ts
+++ b/test/support/fault-scenarios.ts
@@ -70,7 +70,7 @@
     await world.clock.run(3000);
   }
   scenario.begin(world);
-  world.trouble(FAULTS_MS + 3 * world.leaseMs);
+  world.noteFaultsFor(FAULTS_MS + 3 * world.leaseMs);
   if (joined) {
     world.crash(nodes - 1);
     const [first, ...others] = [...world.workers.values()];
--- a/test/support/faults.ts
+++ b/test/support/faults.ts
@@ -41,10 +41,10 @@
     return 5000;
   },
   "cut from the store": storeFault((store, on) => {
-    store.cut = on;
+    store.disconnected = on;
   }),
   "refused by the store": storeFault((store, on) => {
-    store.refused = on;
+    store.unavailable = on;
   }),
   "store down": (world, _random, forMs) => {
     const outageMs = Math.min(forMs, 15_000);
@@ -52,13 +52,13 @@
     return outageMs;
   },
   "answers of the store lost": storeFault((store, on) => {
-    store.loss = on ? 0.3 : 0;
+    store.lostTransactionShare = on ? 0.3 : 0;
   }),
   unreached: (world, random, forMs) => {
     const n = random.int(0, world.nodes - 1);
     return forDuration(world, forMs, (on) => {
-      if (on) world.deaf.add(n);
-      else world.deaf.delete(n);
+      if (on) world.unreachableControllers.add(n);
+      else world.unreachableControllers.delete(n);
     });
   },
   "machine disconnected": workerFault("cut"),
@@ -71,10 +71,10 @@
   "machine receives nothing": workerFault("deaf"),
   "machine reaches no controller": workerFault("mute"),
   "answers of the store lost, nothing else": storeFault((store, on) => {
-    store.unheard = on ? 0.3 : 0;
+    store.lostAnswerShare = on ? 0.3 : 0;
   }),
   "the store answers slowly": storeFault((store, on) => {
-    store.slowMs = on ? 1000 : 0;
+    store.maxExtraDelayMs = on ? 1000 : 0;
   }),
   "old reports repeated to a new leader": (world, random, forMs) =>
     forDuration(world, forMs, (on) => {
@@ -133,8 +133,8 @@
 };
 
 /** Begins a random fault of `FAULTS` that lasts for a random time. */
-export function fault(world: World, random: Random): void {
+export function injectRandomFault(world: World, random: Random): void {
   const forMs = random.int(3000, 40_000);
   const begin = FAULTS[random.pick(Object.keys(FAULTS))]!;
-  world.trouble(begin(world, random, forMs) ?? forMs);
+  world.noteFaultsFor(begin(world, random, forMs) ?? forMs);
 }
--- a/test/support/market-days.ts
+++ b/test/support/market-days.ts
@@ -18,7 +18,7 @@
   first: Map<string, number>;
   whole: Map<string, number>;
   /** By own task: how long it waited while guests' tasks were on machines, ms. */
-  behind: Map<string, number>;
+  waitedBehindGuestsMs: Map<string, number>;
   /** CPU-milliseconds not used by own tasks, and those of them that guests used. */
   idle: number;
   used: number;
@@ -103,7 +103,7 @@
       }
     }
   }
-  return { market, first, whole, behind, idle, used };
+  return { market, first, whole, waitedBehindGuestsMs: behind, idle, used };
 }
 
 /** The value below which the given share of the values lies. */
--- a/test/support/market.ts
+++ b/test/support/market.ts
@@ -9,7 +9,7 @@
   { name: "blue", cpus: 16, max: 32 },
 ];
 
-export const MARKET = `
+export const MARKET_SETTINGS = `
 market {
   every_s: 20
   term_s: 60
@@ -42,7 +42,7 @@
  */
 export class MarketWorld {
   readonly world: World;
-  readonly wrong: string[] = [];
+  readonly ruleViolations: string[] = [];
   /** Every grant ever seen in the store, with its last value. */
   readonly grants = new Map<string, StoredGrant>();
   #revision = 0;
@@ -126,7 +126,7 @@
       const known = this.grants.get(id);
       const grant = value as StoredGrant;
       if (known !== undefined && grant.until > known.until)
-        this.wrong.push(`grant ${id} was extended`);
+        this.ruleViolations.push(`grant ${id} was extended`);
       this.grants.set(id, grant);
     }
     this.#revision = world.state.revision;
@@ -146,7 +146,7 @@
     }
     for (const [guest, cpus] of use) {
       if (cpus > (allowed.get(guest) ?? 0)) {
-        this.wrong.push(`${guest} uses ${cpus} at ${world.clock.now()}`);
+        this.ruleViolations.push(`${guest} uses ${cpus} at ${world.clock.now()}`);
       }
     }
     world.clock.after(100, () => this.#checkGrants());
@@ -164,7 +164,7 @@
    * grant, none for others, and accounts that equal the sum of their charges.
    */
   accountingErrors(): string[] {
-    const found = [...this.wrong];
+    const found = [...this.ruleViolations];
     const seen = new Map<string, number>();
     for (const { grant, micro, slotMs } of this.charges()) {
       seen.set(grant, (seen.get(grant) ?? 0) + 1);
--- a/test/support/model-checker.ts
+++ b/test/support/model-checker.ts
@@ -54,7 +54,7 @@
 }
 
 /** Requests that are not answered yet, and transactions that will be applied late. */
-export class Wire {
+export class RequestScheduler {
   pending: PendingRequest[] = [];
   late: { what: string; run(): unknown }[] = [];
   readonly trace: string[] = [];
@@ -130,7 +130,7 @@
   });
 
   constructor(
-    readonly wire: Wire,
+    readonly wire: RequestScheduler,
     readonly who: string,
     readonly limits: StoreLimits,
     clock: FakeClock,
@@ -200,7 +200,7 @@
 
 /** The setup of one run; created anew for each run. */
 export interface Scene {
-  wire: Wire;
+  wire: RequestScheduler;
   /** Runs before the actors; its requests are answered immediately. */
   prepare?(): Promise<void>;
   /** They run concurrently. */
--- a/test/support/overlap-tests.ts
+++ b/test/support/overlap-tests.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { wrongs } from "./fault-day.js";
+import { dayProblems } from "./fault-day.js";
 import { type OverlapScenario, playOverlap } from "./overlap.js";
 
 /** Tests each scenario with 3 and 5 controllers, and once with its guard disabled. */
@@ -10,7 +10,7 @@
     for (const nodes of [3, 5]) {
       test(`overlapping faults: ${name}, ${nodes} controllers`, async () => {
         const world = await playOverlap(overlap, nodes, 3 + nodes);
-        assert.deepEqual(wrongs(world), []);
+        assert.deepEqual(dayProblems(world), []);
         assert.ok(occurred(world), "the situation under test did not occur");
       });
     }
--- a/test/support/overlap.ts
+++ b/test/support/overlap.ts
@@ -1,6 +1,6 @@
 import { TEAMS } from "./fault-day.js";
 import { Random } from "./random.js";
-import { type Sabotage, World } from "./world.js";
+import { type DisabledGuards, World } from "./world.js";
 
 /** How long the faults last: longer than a cancellation may take. */
 export const FAULTS_MS = 50_000;
@@ -24,7 +24,7 @@
   name: string;
   begin(world: World, leader: number, day: OverlapDay): void;
   /** A disabled guard that the checks must detect in this scenario. */
-  planted: Sabotage;
+  planted: DisabledGuards;
   /** Whether the situation under test occurred; by default, whether users cancelled jobs. */
   occurred?(world: World): boolean;
   zones?: string[];
@@ -55,7 +55,7 @@
   { begin, zones = ["a"], overcommitted = false, bootMs }: OverlapScenario,
   nodes: number,
   seed: number,
-  sabotage: Sabotage = {},
+  sabotage: DisabledGuards = {},
 ): Promise<World> {
   const machines = nodes * 3;
   const maxCpus = overcommitted ? Math.floor((machines * 4 * 0.8) / TEAMS.length) : machines * 4;
@@ -79,7 +79,7 @@
   await world.clock.run(12_000);
   const leader = currentLeader(world);
   begin(world, leader, { world, leader, random, submit });
-  world.trouble(FAULTS_MS + 4 * world.leaseMs);
+  world.noteFaultsFor(FAULTS_MS + 4 * world.leaseMs);
   for (const [i, id] of long.entries()) {
     // Half of them within 2.4 s, the others at any time while the faults last.
     const at = i % 2 === 0 ? random.int(200, 2400) : random.int(0, FAULTS_MS);
@@ -90,7 +90,7 @@
     await world.clock.run(5000);
   }
   world.maxCommandDelayMs = 0;
-  world.answersHeld = 0;
+  world.lateAnswerShare = 0;
   world.replayToNewLeaderShare = 0;
   world.users.cancelAtEndShare = 0;
   await world.clock.run(150_000);
--- a/test/support/overlapping-faults.ts
+++ b/test/support/overlapping-faults.ts
@@ -5,10 +5,10 @@
   {
     name: "the store refuses the leader, then all controllers for longer than cancel_s",
     begin: (world, leader) => {
-      world.stores[leader]!.refused = true;
+      world.stores[leader]!.unavailable = true;
       world.clock.after(2500, () => world.state.setOutage(true));
       world.clock.after(14_000, () => {
-        world.stores[leader]!.refused = false;
+        world.stores[leader]!.unavailable = false;
       });
       world.clock.after(FAULTS_MS - 4000, () => world.state.setOutage(false));
     },
@@ -17,13 +17,13 @@
   {
     name: "the same, with a second outage before the cancellations of the first are known",
     begin: (world, leader) => {
-      world.stores[leader]!.refused = true;
+      world.stores[leader]!.unavailable = true;
       for (const at of [2500, 28_100]) {
         world.clock.after(at, () => world.state.setOutage(true));
         world.clock.after(at + 25_000, () => world.state.setOutage(false));
       }
       world.clock.after(60_000, () => {
-        world.stores[leader]!.refused = false;
+        world.stores[leader]!.unavailable = false;
       });
     },
     planted: { emptyWatches: true },
@@ -32,11 +32,11 @@
     name: "the store answers slowly",
     begin: (world) => {
       forEachStore(world, (store) => {
-        store.slowMs = 1500;
+        store.maxExtraDelayMs = 1500;
       });
       world.clock.after(FAULTS_MS, () =>
         forEachStore(world, (store) => {
-          store.slowMs = 0;
+          store.maxExtraDelayMs = 0;
         }),
       );
     },
@@ -64,7 +64,7 @@
     begin: (world) => {
       const set = (share: number): void =>
         forEachStore(world, (store) => {
-          store.loss = share;
+          store.lostTransactionShare = share;
         });
       set(0.4);
       world.clock.after(FAULTS_MS, () => set(0));
@@ -75,7 +75,7 @@
     name: "commands and answers are delayed by seconds, and machines hang and resume",
     begin: (world) => {
       world.maxCommandDelayMs = 9000;
-      world.answersHeld = 0.2;
+      world.lateAnswerShare = 0.2;
       for (let at = 0; at < FAULTS_MS; at += 6000) {
         world.clock.after(at, () => {
           const worker = [...world.workers.values()][(at / 1000) % world.workers.size];
--- a/test/support/overlapping-machines.ts
+++ b/test/support/overlapping-machines.ts
@@ -34,7 +34,7 @@
   else world.zoneCutAt.delete(zone);
   for (let n = 0; n < world.nodes; n++) {
     const inside = world.zoneOf(n) === zone;
-    if (inside) world.stores[n]!.cut = on;
+    if (inside) world.stores[n]!.disconnected = on;
     for (const to of world.zones) {
       if ((to === zone) === inside) continue;
       world.blockedRoutes[update](`${n}>${to}`);
@@ -81,8 +81,8 @@
     bootMs: [300, 2000],
     begin: (world, leader, { submit }) => {
       forEachStore(world, (store) => {
-        store.slowMs = 1500;
-        store.loss = 0.2;
+        store.maxExtraDelayMs = 1500;
+        store.lostTransactionShare = 0.2;
       });
       for (const id of [...world.workers.keys()].slice(0, world.nodes)) world.remove(id);
       for (let at = 0; at < FAULTS_MS; at += 10_000) {
@@ -93,8 +93,8 @@
       }
       world.clock.after(FAULTS_MS, () =>
         forEachStore(world, (store) => {
-          store.slowMs = 0;
-          store.loss = 0;
+          store.maxExtraDelayMs = 0;
+          store.lostTransactionShare = 0;
         }),
       );
     },
@@ -133,11 +133,11 @@
     name: "the leader changes ten times in two minutes, also during an outage",
     begin: (world) => {
       forEachStore(world, (store) => {
-        store.loss = 0.15;
+        store.lostTransactionShare = 0.15;
       });
       world.clock.after(FAULTS_MS, () =>
         forEachStore(world, (store) => {
-          store.loss = 0;
+          store.lostTransactionShare = 0;
         }),
       );
       for (let n = 0; n < 10; n++) {
--- a/test/support/overlapping-users.ts
+++ b/test/support/overlapping-users.ts
@@ -27,13 +27,13 @@
     begin: (world, leader) => {
       world.users.recheckShare = 0.5;
       forEachStore(world, (store) => {
-        store.unheard = 0.4;
+        store.lostAnswerShare = 0.4;
       });
       world.clock.after(15_000, () => world.crash(leader, 500));
       world.clock.after(30_000, () => world.crash((leader + 1) % world.nodes, 5000));
       world.clock.after(FAULTS_MS, () =>
         forEachStore(world, (store) => {
-          store.unheard = 0;
+          store.lostAnswerShare = 0;
         }),
       );
     },
@@ -93,11 +93,11 @@
   {
     name: "cancellations at the moment at which the store refuses the leader, then all controllers",
     begin: (world, leader) => {
-      world.stores[leader]!.refused = true;
+      world.stores[leader]!.unavailable = true;
       world.users.cancelRunningJobs(4);
       world.clock.after(1000, () => world.state.setOutage(true));
       world.clock.after(FAULTS_MS - 6000, () => {
-        world.stores[leader]!.refused = false;
+        world.stores[leader]!.unavailable = false;
         world.state.setOutage(false);
       });
     },
--- a/test/support/part-bench.ts
+++ b/test/support/part-bench.ts
@@ -1,5 +1,5 @@
 import assert from "node:assert/strict";
-import type { DecidingBy } from "../../src/configuration/index.js";
+import type { ConfigurationInForce } from "../../src/configuration/index.js";
 import type { PlacementPolicy } from "../../src/extension/index.js";
 import { type Amounts, ShareTree } from "../../src/fair/share.js";
 import type { Reply } from "../../src/http/server.js";
@@ -7,14 +7,14 @@
 import { Metrics } from "../../src/metrics.js";
 import { Part } from "../../src/part/part.js";
 import { Summaries, type Summary } from "../../src/part/summary.js";
-import { Pipelines } from "../../src/pipeline/index.js";
+import { DependencyTracker } from "../../src/pipeline/index.js";
 import { defaultTuning } from "../../src/settings/tuning.js";
 import { Mirror } from "../../src/state/mirror.js";
 import type { Change, Row } from "../../src/state/store.js";
 import type { Command, Report } from "../../src/wire/workers.js";
 import { PlacementConstraints } from "../../src/workers/placement-constraints.js";
 import { FakeClock } from "./clock.js";
-import { bodyOf, LIMITS, NEVER_REVISED, quiet } from "./common.js";
+import { bodyOf, INITIAL_CONFIGURATION, LIMITS, quiet } from "./common.js";
 import { plainSpec } from "./placement-bench.js";
 import { Random } from "./random.js";
 import { FakeState, FakeStore } from "./store.js";
@@ -29,7 +29,7 @@
   readonly store: FakeStore;
   readonly mirror: Mirror;
   readonly goneMachines = new Set<string>();
-  readonly timely = new Set<string>();
+  readonly onTimeJobs = new Set<string>();
   readonly borrowers = new Set<string>();
   token = 0;
   claimLost = false;
@@ -38,11 +38,11 @@
   passCount = 0;
   reconcilingRestore = false;
   /** Summaries that the part has published. */
-  readonly announced: Summary[] = [];
+  readonly publishedSummaries: Summary[] = [];
   part!: Part;
   policy: PlacementPolicy | null = null;
   readonly limits = new Map<string, Amounts>([["red", { cpus: 8, gpus: 0 }]]);
-  configuration: DecidingBy = NEVER_REVISED;
+  configuration: ConfigurationInForce = INITIAL_CONFIGURATION;
 
   constructor(limits = LIMITS) {
     this.state = new FakeState(this.clock, limits);
@@ -69,7 +69,7 @@
         claim: { key: "w/p/0", version: this.token },
         ownerSuspected: () => false,
         allReadCurrentFormat: () => this.allReadCurrentFormat,
-        pipelines: new Pipelines(
+        pipelines: new DependencyTracker(
           this.mirror,
           this.store,
           this.clock,
@@ -104,9 +104,9 @@
         metrics: new Metrics(this.clock, 1e9),
         summaries: new Summaries(),
         guaranteed: () => new Set(),
-        onTime: () => this.timely,
+        onTime: () => this.onTimeJobs,
         sendCommands: () => undefined,
-        publishSummary: (summary) => this.announced.push(summary),
+        publishSummary: (summary) => this.publishedSummaries.push(summary),
         reportMs: 2000,
         leaseMs: 12_000,
         onClaimLost: () => {
--- a/test/support/placement-bench.ts
+++ b/test/support/placement-bench.ts
@@ -12,7 +12,7 @@
 import type { JobSpec } from "../../src/wire/jobs.js";
 import { PlacementConstraints } from "../../src/workers/placement-constraints.js";
 import { FakeClock } from "./clock.js";
-import { LIMITS, NEVER_REVISED, quiet } from "./common.js";
+import { INITIAL_CONFIGURATION, LIMITS, quiet } from "./common.js";
 import { Random } from "./random.js";
 import { FakeState, FakeStore } from "./store.js";
 
@@ -38,7 +38,7 @@
 };
 
 /** Runs the core's placement on given machines, without a store, workers or limits. */
-export class PlacingBench {
+export class PlacementBench {
   readonly clock = new FakeClock();
   readonly mirror: Mirror;
   readonly ledger: Ledger;
@@ -69,7 +69,7 @@
       clock: this.clock,
       log: quiet,
       policy: null,
-      configuration: NEVER_REVISED,
+      configuration: INITIAL_CONFIGURATION,
       constraints: new PlacementConstraints(matcher),
       isBorrower: () => false,
       types: () => types,
@@ -107,7 +107,7 @@
       tasks: fullSpec.tasks,
     };
     this.mirror.apply({ key: `w/j/${id}`, value: header, version: ++this.#jobs, deleted: false });
-    const { job, chunks } = this.ledger.missing(id, header)!;
+    const { job, chunks } = this.ledger.missingChunks(id, header)!;
     for (const index of chunks) this.ledger.adopt(job, index, null);
     return id;
   }
--- a/test/support/store.ts
+++ b/test/support/store.ts
@@ -31,18 +31,18 @@
     throw new Error(`${key}: ${why}`);
   });
   /** No answers arrive; a request already sent may still be applied. */
-  cut = false;
+  disconnected = false;
   /** The service answers 503 to this controller only. */
-  refused = false;
+  unavailable = false;
   /** Share of transactions whose answer is lost: half are applied at once, half up to 20 s late. */
-  loss = 0;
+  lostTransactionShare = 0;
   /** Share of transactions that are applied normally and only lose their answer. */
-  unheard = 0;
+  lostAnswerShare = 0;
   /** Deliberate faults; see `Sabotage`. */
   emptyWatches = false;
   staleReads = false;
   /** Messages of transactions that the service rejected as invalid (400). */
-  readonly rejected: string[] = [];
+  readonly rejectionMessages: string[] = [];
 
   constructor(
     readonly state: FakeState,
@@ -51,26 +51,29 @@
     public limits: StoreLimits,
     readonly timeoutMs: number,
     /** Clock of requests in flight: it goes on while the controller's process is paused. */
-    readonly way: Clock = clock,
+    readonly networkClock: Clock = clock,
   ) {
     this.writes = new RateLimiter(limits.writeRps, limits.writeRps, clock);
   }
 
   /** Largest random extra delay of an answer, milliseconds. */
-  slowMs = 0;
+  maxExtraDelayMs = 0;
 
   divide(): void {}
 
   async #exchange<T>(run: () => T): Promise<T> {
-    await sleep(this.way, this.random.int(1, 8) + this.random.int(0, this.slowMs));
-    if (this.cut) {
+    await sleep(
+      this.networkClock,
+      this.random.int(1, 8) + this.random.int(0, this.maxExtraDelayMs),
+    );
+    if (this.disconnected) {
       await sleep(this.clock, this.timeoutMs);
       throw new NoAnswer("cut");
     }
-    if (this.refused || this.state.outage) throw new Refused("503");
+    if (this.unavailable || this.state.outage) throw new Refused("503");
     const result = run();
     await sleep(this.clock, this.random.int(1, 8));
-    if (this.cut) {
+    if (this.disconnected) {
       await sleep(this.clock, this.timeoutMs);
       throw new NoAnswer("cut");
     }
@@ -109,7 +112,7 @@
 
   async transact(when: Condition[], then: Change[]): Promise<TxnResult> {
     assertWritable(this.writable, then);
-    if (this.random.chance(this.loss)) {
+    if (this.random.chance(this.lostTransactionShare)) {
       const delayMs = this.random.int(0, 1) * this.random.int(0, 20_000);
       const sent = copy({ when, then });
       this.clock.after(delayMs, () => {
@@ -123,13 +126,13 @@
       await sleep(this.clock, this.timeoutMs);
       throw new NoAnswer("answer lost");
     }
-    const answered = this.unheard === 0 || !this.random.chance(this.unheard);
+    const answered = this.lostAnswerShare === 0 || !this.random.chance(this.lostAnswerShare);
     const result = await this.#exchange(() => {
       try {
         return this.state.transact(when, then);
       } catch (error) {
         if (!(error instanceof Malformed)) throw error;
-        this.rejected.push(error.message);
+        this.rejectionMessages.push(error.message);
         throw new Rejected(error.message);
       }
     });
@@ -151,16 +154,16 @@
     after: number,
     waitMs: number,
   ): Promise<{ revision: number; events: Event[] } | null> {
-    if (this.emptyWatches && (this.cut || this.refused || this.state.outage)) {
+    if (this.emptyWatches && (this.disconnected || this.unavailable || this.state.outage)) {
       await sleep(this.clock, 500);
       return { revision: after, events: [] };
     }
     if (this.staleReads && waitMs === 0) return { revision: after, events: [] };
     const changes = await this.#exchange(() => this.state.changes(prefix, after));
     if (changes === null) return null;
-    if (changes.length === 0) await this.state.changed(prefix, waitMs);
+    if (changes.length === 0) await this.state.waitForChange(prefix, waitMs);
     // A watch that is already open stays open during an outage.
-    while (this.state.outage || this.refused) await sleep(this.clock, 100);
+    while (this.state.outage || this.unavailable) await sleep(this.clock, 100);
     return this.#exchange(() => {
       const events = this.state.changes(prefix, after);
       return events === null ? null : { revision: this.state.revision, events: copy(events) };
@@ -169,7 +172,7 @@
 }
 
 /** A simulated state service with one connection to it. */
-export function service(seed = 1, limits: StoreLimits = LIMITS) {
+export function fakeStateService(seed = 1, limits: StoreLimits = LIMITS) {
   const clock = new FakeClock();
   const state = new FakeState(clock, limits);
   const store = new FakeStore(state, clock, new Random(seed), limits, 2000);
--- a/test/support/sweep.ts
+++ b/test/support/sweep.ts
@@ -159,9 +159,9 @@
   /** The value of the line at 0. */
   at0: number;
   /** The largest deviation of a point from the line, as a share of the largest value. */
-  off: number;
+  maxDeviation: number;
   /** Exponent of a power law through the first and last point: 1 is linear. */
-  power: number;
+  powerLawExponent: number;
 }
 
 /** @param points as x and y, at least two */
@@ -172,5 +172,11 @@
   const off = Math.max(...points.map(([x, y]) => Math.abs(y - at(x)))) / largest;
   const [[x0, y0], [x1, y1]] = [points[0]!, points.at(-1)!];
   const power = Math.log(y1 / y0) / Math.log(x1 / x0);
-  return { points: points.length, slope: line.m, at0: line.b, off, power };
+  return {
+    points: points.length,
+    slope: line.m,
+    at0: line.b,
+    maxDeviation: off,
+    powerLawExponent: power,
+  };
 }
--- a/test/support/users.ts
+++ b/test/support/users.ts
@@ -58,7 +58,7 @@
    * The same, but only for the check of jobs that wait 90 s beside free resources. Set by tests whose
    * own faults `faultsEndAt` does not include.
    */
-  roomFrom = 0;
+  checkWaitingFrom = 0;
   /** The share of lasting answers (accepted, done, cancelled) after which all nodes are queried. */
   recheckShare = 0;
   /** Count of such queries that were answered. */
@@ -98,12 +98,12 @@
   }
 
   /** Adds a job that another client submits, from the body of its submission. */
-  adopt(body: Record<string, unknown>): Job {
+  addSubmittedJob(body: Record<string, unknown>): Job {
     return this.jobs.get(String(body.uid)) ?? this.#addJob(body, {});
   }
 
   /** Marks an adopted job as accepted, and polls it from now on. */
-  follow(job: Job): void {
+  startPolling(job: Job): void {
     if (job.accepted) return;
     job.accepted = true;
     void this.#pollAsUser(job);
@@ -194,7 +194,7 @@
       { ...sample.body, uid, owner: "nobody" },
     ]) {
       const answer = await this.#askAnyNode("POST", "/api/jobs", body);
-      if (answer !== null && answer.status < 300) world.broken("accepted_bad", uid);
+      if (answer !== null && answer.status < 300) world.recordViolation("accepted_bad", uid);
     }
     const doneJob = [...this.jobs.values()].find(({ toldDone }) => toldDone);
     if (doneJob === undefined) return;
@@ -209,7 +209,7 @@
       (["GET", "POST"] as const).map(async (method) => {
         await world.sleep(world.random.int(0, 6));
         const told = knownStateOf(job);
-        if (world.deaf.has(n)) return;
+        if (world.unreachableControllers.has(n)) return;
         const answer =
           method === "GET"
             ? await world.ask(n, "GET", `/api/jobs/${job.id}`)
@@ -225,26 +225,34 @@
     const { world } = this;
     const forbidden = method === "GET" ? [404] : [201, 400, 422];
     if (forbidden.includes(answer.status)) {
-      world.broken("forgotten", `${job.id}: ${answer.status} to a repeated query (${method})`);
+      world.recordViolation(
+        "forgotten",
+        `${job.id}: ${answer.status} to a repeated query (${method})`,
+      );
     }
     if (answer.status !== 200) return;
     this.recheckCount++;
     const { status } = answer.body as { status: string };
     if ((told.done && status !== "done") || (told.cancelled && status !== "cancelled")) {
-      world.broken("went_back", `${job.id} is ${status} again, by a repeated query (${method})`);
+      world.recordViolation(
+        "went_back",
+        `${job.id} is ${status} again, by a repeated query (${method})`,
+      );
     } else if (status === "done" || status === "cancelled") this.#recordAnswer(job, answer);
   }
 
   /** The submission as controllers get it. */
   #submissionBody(job: Job): object {
-    if (this.world.sabotage.loseZones !== true) return job.body;
+    if (this.world.disabledGuards.loseZones !== true) return job.body;
     return { ...job.body, berth: null, together: false, scatter: false };
   }
 
   #askAnyNode(method: string, path: string, body?: object): Promise<Answer | null> {
     const { world } = this;
     const n = world.random.int(0, world.nodes - 1);
-    return world.deaf.has(n) ? Promise.resolve(null) : world.ask(n, method, path, body);
+    return world.unreachableControllers.has(n)
+      ? Promise.resolve(null)
+      : world.ask(n, method, path, body);
   }
 
   async #pollAsUser(job: Job): Promise<void> {
@@ -264,18 +272,18 @@
       const told = knownStateOf(job);
       const answer = await this.#askAnyNode("GET", `/api/jobs/${job.id}`);
       if (answer?.status === 200) this.#recordAnswer(job, answer, told);
-      else if (answer?.status === 404) world.broken("forgotten", job.id);
+      else if (answer?.status === 404) world.recordViolation("forgotten", job.id);
       const since = Math.max(job.lastAnsweredAt, this.faultsEndAt);
       if (!isForgotten && world.clock.now() - since > MAX_UNANSWERED_MS) {
         isForgotten = true;
-        world.broken("forgotten", `${job.id}: no question answered since ${since}`);
+        world.recordViolation("forgotten", `${job.id}: no question answered since ${since}`);
       }
       if (answer !== null && world.random.chance(0.05)) {
         const before = knownStateOf(job);
         const again = await this.#askAnyNode("POST", "/api/jobs", this.#submissionBody(job));
         if (again?.status === 200) this.#recordAnswer(job, again, before);
         else if (again !== null && [201, 400, 422].includes(again.status)) {
-          world.broken("forgotten", `${job.id}: ${again.status} to a repeated submission`);
+          world.recordViolation("forgotten", `${job.id}: ${again.status} to a repeated submission`);
         }
       }
     }
@@ -291,21 +299,21 @@
     job.lastAnsweredAt = world.clock.now();
     const before = job.toldDone || job.toldCancelledAt !== null;
     if (status === "done") {
-      if (job.done.size < job.tasks) world.broken("not_done", job.id);
-      if (job.toldCancelledAt !== null) world.broken("went_back", job.id);
+      if (job.done.size < job.tasks) world.recordViolation("not_done", job.id);
+      if (job.toldCancelledAt !== null) world.recordViolation("went_back", job.id);
       job.toldDone = true;
     } else if (status === "cancelled") {
       const asked =
         job.askedToCancel || this.#someDependency(job, ({ askedToCancel }) => askedToCancel);
-      if (!asked || job.toldDone) world.broken("went_back", job.id);
+      if (!asked || job.toldDone) world.recordViolation("went_back", job.id);
       if (job.toldCancelledAt === null) this.cancelledCount++;
       job.toldCancelledAt ??= world.clock.now();
     } else if (told.done || told.cancelled) {
-      world.broken("went_back", `${job.id} is ${status} again`);
+      world.recordViolation("went_back", `${job.id} is ${status} again`);
     } else {
       const since = this.#dependencyCancelledAt(job);
       if (since !== null && world.clock.now() - since > world.cancelMs) {
-        world.broken(
+        world.recordViolation(
           "orphaned",
           `${job.id} is ${status}; its dependency was cancelled at ${since} ms`,
         );
--- a/test/support/varied-jobs-day.ts
+++ b/test/support/varied-jobs-day.ts
@@ -1,5 +1,5 @@
 import type { DayPlan } from "./fault-day.js";
-import { fault } from "./faults.js";
+import { injectRandomFault } from "./faults.js";
 import { Random } from "./random.js";
 import { World } from "./world.js";
 
@@ -60,7 +60,7 @@
   await world.clock.run(20_000);
   for (let step = 0; step < 50; step++) {
     if (random.chance(0.4)) submit();
-    if (random.chance(0.3)) fault(world, random);
+    if (random.chance(0.3)) injectRandomFault(world, random);
     await world.clock.run(3000);
   }
   for (const id of services) if (!world.jobs.get(id)!.askedToCancel) world.cancel(id);
--- a/test/support/world.ts
+++ b/test/support/world.ts
@@ -26,7 +26,7 @@
 }
 
 /** Guards that a test disables, to verify that the checks then report violated rules. */
-export interface Sabotage {
+export interface DisabledGuards {
   /** Conditions of transactions are ignored: all, or those on keys that match the expression. */
   ignoreConditions?: boolean | RegExp;
   /** Delayed reports get a current session, sequence number and token when they arrive. */
@@ -63,7 +63,7 @@
   /** The clock of each controller; it can be frozen. */
   readonly clocks: NodeClock[] = [];
   /** Controllers that only the state service and the cloud can reach. */
-  readonly deaf = new Set<number>();
+  readonly unreachableControllers = new Set<number>();
   /** Blocked routes, as `from>to`: controllers by number, workers by their zone, `*` for any. */
   readonly blockedRoutes = new Set<string>();
   /** Since when entire zones have been cut off. */
@@ -80,7 +80,7 @@
   /** The median delay of the others, ms; 0: 1 to 5 ms. */
   medianFrameDelayMs = 0;
   /** The share of answers to reports that arrive after their worker has timed out. */
-  answersHeld = 0;
+  lateAnswerShare = 0;
   /** The maximum extra delay of commands sent to a worker directly, ms. */
   maxCommandDelayMs = 0;
   /** Count of frames sent between controllers. */
@@ -99,7 +99,7 @@
   /** Time and zone of the last start of each task. */
   readonly starts = new Map<string, { at: number; zone: string }>();
   /** A test's own check of a task's start on a machine: what is wrong, or null. */
-  judge: (piece: string, on: Worker) => string | null = () => null;
+  findStartViolation: (piece: string, on: Worker) => string | null = () => null;
   #runs = 0;
   readonly #limits: StoreLimits;
 
@@ -108,7 +108,7 @@
     readonly nodes: number,
     readonly teams: TeamSettings[],
     readonly capacity: number,
-    readonly sabotage: Sabotage = {},
+    readonly disabledGuards: DisabledGuards = {},
     readonly zones: readonly string[] = ["a"],
     /** The operators' settings for a controller; they may differ, as during an upgrade. */
     public operators: (node: number) => Partial<Operators> = () => ({}),
@@ -132,7 +132,7 @@
       this.clocks.push(new NodeClock(this.clock));
       this.stores.push(this.#storeOf(n));
       this.controllers.push(null);
-      this.boot(n);
+      this.startController(n);
     }
     this.#checkInvariants();
   }
@@ -146,7 +146,7 @@
   #stateService(): FakeState {
     const state = new FakeState(this.clock, this.#limits);
     const real = state.transact.bind(state);
-    const ignored = this.sabotage.ignoreConditions ?? false;
+    const ignored = this.disabledGuards.ignoreConditions ?? false;
     const holds = ({ key }: { key: string }): boolean =>
       typeof ignored === "boolean" ? !ignored : !ignored.test(key);
     state.transact = (when, then) => {
@@ -169,8 +169,8 @@
   #storeOf(n: number): FakeStore {
     const { state, clock, clocks, random } = this;
     const store = new FakeStore(state, clocks[n]!, random, this.#limits, 2000, clock);
-    store.emptyWatches = this.sabotage.emptyWatches === true;
-    store.staleReads = this.sabotage.staleReads === true;
+    store.emptyWatches = this.disabledGuards.emptyWatches === true;
+    store.staleReads = this.disabledGuards.staleReads === true;
     return store;
   }
 
@@ -189,7 +189,7 @@
     );
   }
 
-  boot(n: number): void {
+  startController(n: number): void {
     const settings = settingsFor(n, this.nodes, this.teams, this.zones);
     const run = `run-${++this.#runs}`;
     const clock = this.clocks[n]!;
@@ -197,7 +197,12 @@
     const alive = (): boolean => this.controllers[n] === controller;
     const sendFrame = (other: number, frame: Frame): void => {
       this.frames++;
-      if (this.deaf.has(n) || this.deaf.has(other) || this.#isBlocked(n, other)) return;
+      if (
+        this.unreachableControllers.has(n) ||
+        this.unreachableControllers.has(other) ||
+        this.#isBlocked(n, other)
+      )
+        return;
       if (this.random.chance(this.frameLossShare)) return;
       // Encoded and decoded, as on a real connection.
       const received = decodeFrame(encodeFrame(frame).subarray(4))!;
@@ -218,7 +223,7 @@
           this.maxCommandDelayMs > 0 ? this.random.int(0, this.maxCommandDelayMs) : 0;
         this.clock.after(this.random.int(1, 5) + extraDelayMs, () => {
           // A delayed command arrives even if its sender has stopped meanwhile.
-          if (extraDelayMs === 0 && (!alive() || this.deaf.has(n))) return;
+          if (extraDelayMs === 0 && (!alive() || this.unreachableControllers.has(n))) return;
           const worker = this.workers.get(address.slice(2));
           if (worker !== undefined && this.#isBlocked(n, worker.zone)) return;
           this.#deliverCommands(address.slice(2), encode(body));
@@ -237,7 +242,7 @@
         ...quiet,
         // The orphan sweep found a chunk that no owner knew: a fault elsewhere lost it.
         error: (...args: unknown[]) => {
-          if (args[1] === "job without owner") this.broken("swept", `by n${n}`);
+          if (args[1] === "job without owner") this.recordViolation("swept", `by n${n}`);
         },
       },
       clock,
@@ -248,7 +253,7 @@
     controller.start();
     const probe = (): void => {
       if (!alive()) return;
-      if (!this.deaf.has(n) && !clock.frozen) void this.ask(n, "GET", "/healthz");
+      if (!this.unreachableControllers.has(n) && !clock.frozen) void this.ask(n, "GET", "/healthz");
       this.clock.after(1000, probe);
     };
     this.clock.after(500, probe);
@@ -279,14 +284,19 @@
     this.clocks[n]!.reset();
     // Its peers see their connections close, unless the route is blocked.
     for (let other = 0; other < this.nodes; other++) {
-      if (other === n || this.deaf.has(n) || this.deaf.has(other) || this.#isBlocked(n, other))
+      if (
+        other === n ||
+        this.unreachableControllers.has(n) ||
+        this.unreachableControllers.has(other) ||
+        this.#isBlocked(n, other)
+      )
         continue;
       this.clock.after(this.random.int(1, 5), () => {
         this.clocks[other]!.after(0, () => this.controllers[other]?.closed(`n${n}`));
       });
     }
     this.clock.after(forMs, () => {
-      if (this.controllers[n] === null) this.boot(n);
+      if (this.controllers[n] === null) this.startController(n);
     });
   }
 
@@ -331,7 +341,7 @@
   }
 
   /** Notes that faults last for this time from now on: checks of waiting times begin after them. */
-  trouble(forMs: number): void {
+  noteFaultsFor(forMs: number): void {
     this.users.faultsEndAt = Math.max(this.users.faultsEndAt, this.clock.now() + forMs);
   }
 
@@ -339,10 +349,13 @@
 
   async deliverReport(worker: Worker, n: number, report: object): Promise<Answer | null> {
     const cut = (): boolean =>
-      worker.cut || worker.gone || this.deaf.has(n) || this.#isBlocked(worker.zone, n);
+      worker.cut ||
+      worker.gone ||
+      this.unreachableControllers.has(n) ||
+      this.#isBlocked(worker.zone, n);
     const deliverLate = (to = n): void => {
       const current = { shift: worker.session, tally: ++worker.seq, baton: worker.token };
-      const sent = this.sabotage.freshenReports === true ? { ...report, ...current } : report;
+      const sent = this.disabledGuards.freshenReports === true ? { ...report, ...current } : report;
       void this.ask(to, "POST", "/checkin", sent);
     };
     if (worker.mute) {
@@ -365,11 +378,12 @@
       // A copy arrives as well, even if the machine is gone or its part has another owner by then.
       this.clock.after(this.random.int(2000, 3 * this.leaseMs), () => deliverLate());
     }
-    if (this.answersHeld > 0 && this.random.chance(this.answersHeld)) {
+    if (this.lateAnswerShare > 0 && this.random.chance(this.lateAnswerShare)) {
       const lateAnswer = await this.ask(n, "POST", "/checkin", report);
       this.clock.after(this.random.int(5000, 2 * this.leaseMs), () => {
         const orders = (lateAnswer?.body as { orders?: Command[] } | undefined)?.orders;
-        if (this.sabotage.lateAnswers === true && orders !== undefined) worker.execute(orders);
+        if (this.disabledGuards.lateAnswers === true && orders !== undefined)
+          worker.execute(orders);
       });
       await this.sleep(4000);
       return null;
@@ -409,7 +423,7 @@
 
   /** Disconnects a controller from the state service and its peers, not from workers and users. */
   isolate(n: number, on: boolean): void {
-    this.stores[n]!.cut = on;
+    this.stores[n]!.disconnected = on;
     for (let other = 0; other < this.nodes; other++) {
       for (const way of [`${n}>${other}`, `${other}>${n}`]) {
         if (on && other !== n) this.blockedRoutes.add(way);
@@ -420,7 +434,7 @@
 
   // ---- rules -----------------------------------------------------------------------------
 
-  broken(rule: string, detail: string): void {
+  recordViolation(rule: string, detail: string): void {
     this.violations.push({ rule, at: this.clock.now(), detail });
   }
 
@@ -431,20 +445,22 @@
     const job = this.jobOf(piece);
     job.beganAt ??= this.clock.now();
     if (!job.accepted && !job.askedToCancel && !this.#isStored(job.id)) {
-      this.broken("invented", piece);
+      this.recordViolation("invented", piece);
     }
     const dependency = this.users.unfinishedDependency(job);
-    if (dependency !== null) this.broken("too_early", `${piece} before ${dependency.id} is done`);
+    if (dependency !== null)
+      this.recordViolation("too_early", `${piece} before ${dependency.id} is done`);
     this.#checkZoneConstraints(job, piece, on);
     const toldAt = job.toldCancelledAt ?? Number.POSITIVE_INFINITY;
     if (this.clock.now() - toldAt > MAX_IN_FLIGHT_MS) this.startsAfterCancel++;
-    const violation = this.judge(piece, on);
-    if (violation !== null) this.broken("wrong_place", `${piece} on ${on.id}: ${violation}`);
-    if (on.spot && !job.spot) this.broken("wrong_place", `${piece} on ${on.id}`);
+    const violation = this.findStartViolation(piece, on);
+    if (violation !== null)
+      this.recordViolation("wrong_place", `${piece} on ${on.id}: ${violation}`);
+    if (on.spot && !job.spot) this.recordViolation("wrong_place", `${piece} on ${on.id}`);
     for (const worker of this.workers.values()) {
       const other = worker === on ? undefined : worker.tasks.get(piece);
       if (other !== undefined && other.state !== "ended") {
-        this.broken("ran_twice", `${piece} on ${on.id} and on ${worker.id}`);
+        this.recordViolation("ran_twice", `${piece} on ${on.id} and on ${worker.id}`);
       }
     }
   }
@@ -452,7 +468,8 @@
   /** Checks the job's zone constraints against its other running tasks. */
   #checkZoneConstraints({ id, body, tasks }: Job, piece: string, on: Worker): void {
     const { berth, together, scatter } = body;
-    if (berth != null && berth !== on.zone) this.broken("wrong_place", `${piece} in ${on.zone}`);
+    if (berth != null && berth !== on.zone)
+      this.recordViolation("wrong_place", `${piece} in ${on.zone}`);
     if (together !== true && scatter !== true) return;
     const perZone = new Map<string, number>();
     for (const { zone, tasks: there } of this.workers.values()) {
@@ -461,9 +478,10 @@
         perZone.set(zone, (perZone.get(zone) ?? 0) + 1);
       }
     }
-    if (together === true && perZone.size > 1) this.broken("wrong_place", `${piece} apart`);
+    if (together === true && perZone.size > 1)
+      this.recordViolation("wrong_place", `${piece} apart`);
     if (scatter === true && (perZone.get(on.zone) ?? 0) > Math.ceil(tasks / 2)) {
-      this.broken("wrong_place", `${piece} not scattered`);
+      this.recordViolation("wrong_place", `${piece} not scattered`);
     }
   }
 
@@ -483,15 +501,16 @@
         // A machine that hangs for longer than its lease drops its tasks when it resumes.
         const expired = worker.hung && now - worker.leaseFrom > this.leaseMs;
         if (!expired && job.toldCancelledAt !== null && now - job.toldCancelledAt > this.cancelMs) {
-          this.broken("ran_cancelled", task.piece);
+          this.recordViolation("ran_cancelled", task.piece);
         }
       }
     }
     for (const { name, max } of this.teams) {
       // DEPLOY: a limit of 0 means no limit.
-      if (max > 0 && (use.get(name) ?? 0) > max) this.broken("quota", `${name}: ${use.get(name)}`);
+      if (max > 0 && (use.get(name) ?? 0) > max)
+        this.recordViolation("quota", `${name}: ${use.get(name)}`);
     }
-    if (this.sabotage.silenceIsGone === true) this.#recordSilentAsGone(now);
+    if (this.disabledGuards.silenceIsGone === true) this.#recordSilentAsGone(now);
     if (now % 1000 === 0) checkWaiting(this);
     this.clock.after(100, () => this.#checkInvariants());
   }
--- a/test/support/year.ts
+++ b/test/support/year.ts
@@ -1,4 +1,11 @@
-import { decodeLeaf, encodeLeaf, LAST, Lookups, leafKey, Mover } from "../../src/archive/index.js";
+import {
+  decodeLeaf,
+  END_OF_RANGES,
+  encodeLeaf,
+  Lookups,
+  leafKey,
+  Mover,
+} from "../../src/archive/index.js";
 import type { Core, LeaderTerm } from "../../src/extension/index.js";
 import type { JobHeader } from "../../src/jobs/job-header.js";
 import { StateService } from "../../src/local/state.js";
@@ -30,7 +37,7 @@
       },
       transact: async (...asked: Parameters<StateService["transact"]>) => state.transact(...asked),
     } as unknown as Store;
-    state.transact([], [{ put: leafKey(LAST), value: encodeLeaf("", []) }]);
+    state.transact([], [{ put: leafKey(END_OF_RANGES), value: encodeLeaf("", []) }]);
     this.lookups = new Lookups(store, clock, quiet, 1);
     const mirror = new Mirror(store, clock, quiet, 1000);
     mirror.waitForRevision = async () => undefined;
--- a/test/suspicion.test.ts
+++ b/test/suspicion.test.ts
@@ -6,7 +6,7 @@
 import { rankOwners, requiredStableMs, type Vacancy } from "../src/membership/owner-ranking.js";
 import type { PartContext } from "../src/part/context.js";
 import type { Job } from "../src/part/job.js";
-import type { Pass } from "../src/part/placement.js";
+import type { PlacementPass } from "../src/part/placement.js";
 import { Rebalancing } from "../src/part/rebalancing.js";
 import type { Summary } from "../src/part/summary.js";
 import { parseOperators } from "../src/settings/operators.js";
@@ -472,7 +472,11 @@
       ownerSuspected: (part: number) => part === suspectedPart,
     } as unknown as PartContext;
     context.constraints.allows = () => true;
-    const pass = { machines: [], types: new Map([["m4", type]]), now: LEASE_MS } as unknown as Pass;
+    const pass = {
+      machines: [],
+      types: new Map([["m4", type]]),
+      now: LEASE_MS,
+    } as unknown as PlacementPass;
     new Rebalancing(context).run([job], pass, 4);
     return chunk.movingTo;
   };
--- a/test/troubles.test.ts
+++ b/test/troubles.test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { wrongs } from "./support/fault-day.js";
+import { dayProblems } from "./support/fault-day.js";
 import { faultScenarios, playScenario } from "./support/fault-scenarios.js";
 
 for (const scenario of faultScenarios) {
@@ -8,7 +8,7 @@
     for (const joined of [false, true]) {
       const also = joined ? ", another controller crashes and a tenth of the machines is lost" : "";
       test(`faults: ${scenario.name}, ${nodes} controllers${also}`, async () => {
-        assert.deepEqual(wrongs(await playScenario(scenario, nodes, joined)), []);
+        assert.deepEqual(dayProblems(await playScenario(scenario, nodes, joined)), []);
       });
     }
   }
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -1,7 +1,12 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { beginArchive, behind, Lookups, Mover } from "../src/archive/index.js";
-import { Forgetting } from "../src/cloud/returned-machine-cleanup.js";
+import {
+  beginArchive,
+  controllersWithoutArchiveSupport,
+  Lookups,
+  Mover,
+} from "../src/archive/index.js";
+import { ReturnedMachineCleanup } from "../src/cloud/returned-machine-cleanup.js";
 import { OpenJobs } from "../src/controller/open-jobs.js";
 import type { Core, LeaderTerm } from "../src/extension/index.js";
 import { doneHeader, type JobHeader } from "../src/jobs/job-header.js";
@@ -16,7 +21,7 @@
 import { FakeClock } from "./support/clock.js";
 import { LIMITS, quiet } from "./support/common.js";
 import { Random } from "./support/random.js";
-import { type FakeStore, service } from "./support/store.js";
+import { type FakeStore, fakeStateService } from "./support/store.js";
 import { World } from "./support/world.js";
 
 const TEAMS = [
@@ -187,7 +192,7 @@
 const MEMBERS = ["n0", "n1"].map((name) => ({ name, zone: "a" }));
 
 function createCore(writeRps = 1000) {
-  const { clock, state, store } = service(1, { ...LIMITS, writeRps });
+  const { clock, state, store } = fakeStateService(1, { ...LIMITS, writeRps });
   const mirror = new Mirror(store, clock, quiet, 1000);
   void mirror.run();
   const core = { store, mirror, clock, log: quiet, layout: new Layout(MEMBERS) } as unknown as Core;
@@ -218,7 +223,7 @@
     }
     prepare(state);
     await clock.run(2000);
-    assert.deepEqual(behind(core), missing);
+    assert.deepEqual(controllersWithoutArchiveSupport(core), missing);
     const leading: LeaderTerm = { token: 1, claim, valid: () => true };
     const begun = beginArchive(core, leading);
     await clock.run(2000);
@@ -257,7 +262,7 @@
 
 test("archiving: uses only spare tokens of the rate limiter of changes", async () => {
   const { clock, state, store, core } = createCore(12);
-  const { encodeLeaf, LAST, leafKey } = await import("../src/archive/index.js");
+  const { encodeLeaf, END_OF_RANGES: LAST, leafKey } = await import("../src/archive/index.js");
   state.transact([], [{ put: leafKey(LAST), value: encodeLeaf("", []) }]);
   for (let i = 0; i < 200; i++) {
     state.transact([], [{ put: keys.job(`wk-${1000 + i}`), value: finishedHeader }]);
@@ -305,7 +310,7 @@
 
 test("archiving: jobs archived by an unanswered transaction are no error, and are not archived again", async () => {
   const { clock, state, store, core } = createCore();
-  const { encodeLeaf, LAST, leafKey } = await import("../src/archive/index.js");
+  const { encodeLeaf, END_OF_RANGES: LAST, leafKey } = await import("../src/archive/index.js");
   state.transact([], [{ put: leafKey(LAST), value: encodeLeaf("", []) }]);
   for (const id of ["wk-1", "wk-2"])
     state.transact([], [{ put: keys.job(id), value: finishedHeader }]);
@@ -321,9 +326,9 @@
   const leading: LeaderTerm = { token: 1, claim: { key: "x", version: 1 }, valid: () => true };
   const lookups = new Lookups(store, clock, quiet, 1);
   const mover = new Mover(core, lookups, { take: async () => rows, gone, setAside }, leading);
-  store.loss = 1;
+  store.lostTransactionShare = 1;
   await clock.within(mover.step().catch(() => undefined));
-  store.loss = 0;
+  store.lostTransactionShare = 0;
   await clock.run(30_000);
   assert.equal(state.rows.has("w/j/wk-1"), false, "it was applied");
   await clock.within(mover.step());
@@ -334,14 +339,14 @@
   const { clock, state, store, mirror } = createCore(20);
   state.transact([], [{ put: keys.leader, value: 1 }]);
   const claim = { key: keys.leader, version: state.revision };
-  const cleanup = new Forgetting(store, mirror, clock, claim, 600_000);
+  const cleanup = new ReturnedMachineCleanup(store, mirror, clock, claim, 600_000);
   const gone = (): number => [...state.rows.keys()].filter((key) => key.startsWith("w/g/")).length;
   let machineCount = 0;
   for (let minute = 0; minute < 40; minute++) {
     for (let i = 0; i < 4; i++) {
       const name = `host-${machineCount++}`;
       state.transact([], [{ put: keys.goneMachines(`1-${machineCount}`), value: [name] }]);
-      cleanup.returned(name);
+      cleanup.noteReturned(name);
       await clock.run(15_000);
       const step = cleanup.step();
       await clock.run(100);
@@ -353,9 +358,9 @@
     gone() <= 50 && gone() >= 40,
     `${gone()} records are left of ten minutes with four each`,
   );
-  const before = cleanup.expired();
+  const before = cleanup.takeExpired();
   assert.ok(before.includes("host-0") && !before.includes("host-159"));
-  assert.deepEqual(cleanup.expired(), []);
+  assert.deepEqual(cleanup.takeExpired(), []);
   // Another controller leads: nothing more is removed.
   state.transact([], [{ put: keys.leader, value: 2 }]);
   const kept = gone();
--- a/test/watched-transaction.test.ts
+++ b/test/watched-transaction.test.ts
@@ -5,7 +5,7 @@
 import { Mirror } from "../src/state/mirror.js";
 import { transactConfirmedByWatch } from "../src/state/watched-transaction.js";
 import { quiet } from "./support/common.js";
-import { service } from "./support/store.js";
+import { fakeStateService } from "./support/store.js";
 
 const KEY = "w/x/1";
 const VALUE = { status: "open", spec: undefined, at: 5 };
@@ -34,14 +34,14 @@
 ];
 for (const { name, applied, otherValue, lag = false, confirmed } of cases) {
   test(`watched transaction: answer lost, ${name}: ${confirmed ? "confirmed by watch" : "not confirmed"}`, async () => {
-    const { clock, state, store } = service();
+    const { clock, state, store } = fakeStateService();
     const mirror = new Mirror(store, clock, quiet, 1000);
     void mirror.run();
     await clock.run(100);
     // A value that was there before does not confirm this transaction.
     if (lag) state.transact([], [{ put: KEY, value: VALUE }]);
     const version = state.rows.get(KEY)?.version ?? 0;
-    if (applied) store.unheard = 1;
+    if (applied) store.lostAnswerShare = 1;
     else {
       store.transact = async () => {
         await sleep(clock, store.timeoutMs);
@@ -69,7 +69,7 @@
 }
 
 test("watched transaction: answer and watch agree, for a commit and for a failed condition", async () => {
-  const { clock, state, store } = service();
+  const { clock, state, store } = fakeStateService();
   const mirror = new Mirror(store, clock, quiet, 1000);
   void mirror.run();
   await clock.run(100);
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -4,8 +4,8 @@
 import {
   decodeFrame,
   encodeFrame,
-  FrameCutter,
   FrameError,
+  FrameSplitter,
   MAX_FRAME,
 } from "../src/peer/frames.js";
 import { parseSettings, SettingsError } from "../src/settings/settings.js";
@@ -164,7 +164,7 @@
   ];
   const bytes = Buffer.concat(frames.map(encodeFrame));
   for (const step of [1, 7, bytes.length]) {
-    const cutter = new FrameCutter();
+    const cutter = new FrameSplitter();
     const received: unknown[] = [];
     for (let at = 0; at < bytes.length; at += step) {
       for (const payload of cutter.push(bytes.subarray(at, at + step))) {
@@ -187,7 +187,7 @@
 for (const { name, bytes } of invalidFrames) {
   test(`frames: refuses ${name}`, () => {
     assert.throws(() => {
-      for (const payload of new FrameCutter().push(bytes)) decodeFrame(payload);
+      for (const payload of new FrameSplitter().push(bytes)) decodeFrame(payload);
     }, FrameError);
   });
 }
