--- a/src/archive/job-mover.ts
+++ b/src/archive/job-mover.ts
@@ -87,7 +87,10 @@
     this.candidates.gone(removedRows, version);
     if (presentRows.length === 0) return;
     const names = presentRows.map(({ key }) => key);
-    this.core.log.error({ keys: names }, "archived jobs still have headers; skipping the headers");
+    this.core.log.error(
+      { keys: names },
+      "archived jobs still have job headers in the state service; leaving these headers in place",
+    );
     this.candidates.setAside(presentRows);
   }
 
--- a/src/archive/lookups.ts
+++ b/src/archive/lookups.ts
@@ -16,7 +16,10 @@
   listingStartOf,
 } from "./leaf.js";
 
-/** The outcome of an archived job, or the conditions under which it is not in the archive. */
+/**
+ * The outcome of an archived job; or, for an id that is not in the archive, the conditions of the
+ * transaction that creates the job: it fails if the archive leaf has changed since.
+ */
 export type Guard = { past: JobOutcome } | { when: Condition[] };
 
 /** Upper bound on the estimated size of cached leaves. */
--- a/src/client/retry.ts
+++ b/src/client/retry.ts
@@ -11,7 +11,10 @@
 const MAX_RETRY_DELAY_S = 30;
 /** Statuses that are final; by PROTOCOL any other one is retried. */
 const FINAL_STATUSES: ReadonlySet<number> = new Set([400, 404, 405, 413, 422]);
-/** Also final for an optional package's path: the name is already used for something else. */
+/**
+ * Also final for the path of an optional package (such as the market): the name in the request is
+ * already used for something else.
+ */
 const CONFLICT_STATUS = 409;
 
 export interface RetriedRequest {
--- a/src/cloud/fleet.ts
+++ b/src/cloud/fleet.ts
@@ -232,7 +232,8 @@
       this.#listed.delete(id);
       this.#rentedUnlisted.delete(id);
     }
-    // The cloud confirmed that the machines and their tasks are gone: a record for the parts' owners.
+    // The cloud confirmed that the machines are gone, and their tasks with them. The owners of the
+    // parts learn it from this record.
     for (const batch of splitBySize(names, this.ctx.store.limits.valueBytes)) {
       const key = keys.goneMachines(`${this.ctx.token}-${++this.#returnRecordCount}`);
       this.ctx.store.writes.force(1);
--- a/src/local/cloud.ts
+++ b/src/local/cloud.ts
@@ -112,7 +112,8 @@
   }
 
   #list(query: URLSearchParams): ServiceResponse {
-    // Between one and two lags old, drawn anew: a listing may be older than the one served before.
+    // Listings of the last two `listLagMs` are kept, oldest first. Each request draws one from the older
+    // half, so it is one to two `listLagMs` old and may be older than the one served before.
     const listing = this.#listings[Math.floor((this.random() * this.#listings.length) / 2)]!;
     const limit = Math.min(500, Number(query.get("most") ?? 500));
     const after = query.get("after") ?? "";
--- a/src/market/demand-forecast.ts
+++ b/src/market/demand-forecast.ts
@@ -46,9 +46,9 @@
   }
 
   /**
-   * The CPUs that the own teams need in a zone between two times: the maximum, over the hours
-   * touched, of the given quantile of an hour's samples. For an hour with too few samples it is
-   * `recentPeakFactor` times the highest recent sample.
+   * The CPUs that the own teams need in a zone between two times: the maximum, over the hours of the
+   * day that this span touches, of the given quantile of the samples of that hour. An hour with too
+   * few samples counts as `recentPeakFactor` times the highest recent sample.
    */
   forecast(
     zone: string,
--- a/src/market/rounds.ts
+++ b/src/market/rounds.ts
@@ -123,8 +123,8 @@
       const why =
         cluster.unknownParts.length > 0
           ? "a part has no summary that lists free capacity"
-          : "too late";
-      log.info({ instant, why }, "round ended without grants");
+          : "too late: more than a round interval has passed";
+      log.info({ instant, why }, "market round ended without grants");
       await this.#writeRound({ ...round.value, phase: "done" }, round.version);
       return;
     }
@@ -175,7 +175,10 @@
     if (!this.context.takeWrites(1 + ties.length)) return;
     if ((await this.#writeRound(next, round.version, ties)) === null) return;
     this.#note = buildNote(instant, result, bids.length, cluster, plans);
-    log.info({ instant, bids: bids.length, grants: next.grants.length }, "round cleared");
+    log.info(
+      { instant, bids: bids.length, grants: next.grants.length },
+      "market round cleared, grants written",
+    );
   }
 
   /**
@@ -278,7 +281,7 @@
     const zoneReserve = plans.get(zone)?.reserve ?? 0;
     zones[zone] = {
       free: Math.round(free),
-      // The reserve is infinite when a calendar window reserves the whole zone.
+      // At most the free CPUs: a calendar window that reserves a whole zone has an infinite reserve.
       reserve: Math.round(Math.min(zoneReserve, free) + own + waiting),
       demand: Math.round(own + waiting),
       sold: 0,
--- a/src/part/allowances.ts
+++ b/src/part/allowances.ts
@@ -115,7 +115,8 @@
   { rules, places }: { rules: PlacementPolicy; places: PlacementConstraints },
   { machines, types }: Pick<Pass, "machines" | "types">,
 ): number {
-  // A task that no machine here could run is not counted: ending guests' grants would not help it.
+  // A task that no machine here could run is not counted: ending the grants of market guests would
+  // not free resources that it could use.
   const couldRunHere = (spec: JobSpec): boolean =>
     machines.some((machine) => {
       const type = types.get(machine.type);
--- a/src/part/batch-builder.ts
+++ b/src/part/batch-builder.ts
@@ -73,7 +73,7 @@
     const isSmall = ops < 12;
     const turn = this.#collectCount++ % 2;
     const maxSlices = isSmall ? turn : Number.POSITIVE_INFINITY;
-    // In small ones, starts within guarantee and ends of chunks go first by turns: neither waits long.
+    // In small transactions, starts within a guarantee and chunk ends go first in turn: neither waits long.
     const guaranteed = isSmall ? this.ctx.guaranteed() : new Set<string>();
     const isUrgent = (chunk: Chunk): boolean => {
       if (!guaranteed.has(chunk.job)) return false;
@@ -300,7 +300,7 @@
         [...pages.keys()].filter(acceptsChunks).find(fits) ??
         unusedPage();
       if (chunk.page !== null) {
-        // It moves out of a page that is left as it is.
+        // The chunk moves out of a page that is no longer rewritten.
         const pageChunks = pages.get(chunk.page)!;
         pageChunks.splice(pageChunks.indexOf(chunk), 1);
       }
@@ -309,7 +309,7 @@
     }
     const pageOrder = [...dirty];
     if (isSmall) {
-      // After urgent pages, the least recently written: else the first ones would always be written.
+      // Urgent pages first, then the least recently written: else the same ones would always be written.
       const lastWritten = (n: number): number =>
         urgentPages.has(n) ? Number.NEGATIVE_INFINITY : (stored.versions.get(n) ?? 0);
       pageOrder.sort((a, b) => {
@@ -360,7 +360,7 @@
         }
       }
     }
-    // Pages left as they are are removed once none of their states is in use.
+    // Pages that are no longer rewritten are removed once none of their states is in use.
     for (const number of stored.oversized) {
       if (!stored.isLeftAsIs(number) || !pages.has(number) || !canAdd(1)) continue;
       if (staying(number).length > 0 || stored.unowned.has(number)) continue;
--- a/src/part/cancelled-job-cleanup.ts
+++ b/src/part/cancelled-job-cleanup.ts
@@ -35,8 +35,8 @@
 
   run(): void {
     if (this.#writing || this.#pending.size === 0) return;
-    // Without an archive it is not worth a write for few jobs. With many it is, since an archive is
-    // begun when many jobs are fully released, which cancelled ones are only after this.
+    // Without an archive, few jobs are not worth a write. Many are: the archive is begun once many
+    // jobs are fully released, and cancelled jobs are fully released only by these writes.
     if (schemaOf(this.ctx.mirror).version === 1 && this.#pending.size < MIN_JOBS_WITHOUT_ARCHIVE)
       return;
     const { writes, limits } = this.ctx.store;
--- a/src/part/inspect.ts
+++ b/src/part/inspect.ts
@@ -45,7 +45,7 @@
   pauseS: number;
   /** Jobs that it waits for, at most 20. Absent in answers of an older build. */
   awaits?: readonly string[];
-  /** From now: when it and all jobs before it are done by their estimates, and when it is due. */
+  /** Time from now until it and all jobs before it are done by their estimates, and until it is due. */
   expectedS?: number;
   dueS?: number | null;
   /** None of its tasks may start now, because of its expressions or of jobs that it waits for. */
--- a/src/part/job.ts
+++ b/src/part/job.ts
@@ -38,9 +38,9 @@
   }
 
   /**
-   * Always the mirror's header, which has the version to go with it. With a copy kept here, the answer
-   * to a commit that came after the watch had reported a later one reset the copy. Written on condition
-   * of the later version it undid a handover, and a chunk had two owners.
+   * Always the mirror's header, which matches the mirror's version. A copy kept here was once reset by
+   * the answer to a commit that came after the watch had reported a later header. Written on condition
+   * of the later version, the outdated copy undid a handover, and a chunk had two owners.
    */
   get header(): JobHeader {
     const row = this.mirror.rows.get(this.key);
@@ -93,7 +93,7 @@
     return this.#limitAtOnce(count);
   }
 
-  /** Those that may be placed here: without the chunks being handed over to another part. */
+  /** Waiting tasks that may be placed here: those of chunks not being handed over to another part. */
   get pending(): number {
     let count = 0;
     for (const chunk of this.chunks.values()) if (chunk.movingTo === null) count += chunk.pending;
--- a/src/part/lending.ts
+++ b/src/part/lending.ts
@@ -24,7 +24,7 @@
 
 /** Limits what a part lends to teams without a guarantee. */
 export class Lending {
-  /** CPUs that may still be lent in this pass, idle ones and of the minimum; null until computed. */
+  /** CPUs still lendable in this pass: idle ones, and the rest of the minimum; null until computed. */
   #lendable: { idle: number; minimum: number } | null = null;
   /** When a task of a team with a guarantee last found no free resources here. */
   lastShortageAt = Number.NEGATIVE_INFINITY;
--- a/src/part/part.ts
+++ b/src/part/part.ts
@@ -141,7 +141,7 @@
     return this.#inspector.part(query);
   }
 
-  /** Whether most machines that have this owner's token fell silent together. */
+  /** Whether most machines that report under this owner's token fell silent together. */
   mostMachinesSilent(): boolean {
     return this.#workers.mostMachinesSilent();
   }
@@ -389,8 +389,8 @@
   }
 
   /**
-   * Adopts a chunk that left and came back before this owner knew that it had left: the commit's
-   * answer was lost, and when its return was reported it was still here. Else nobody would place it.
+   * Adopts a chunk that left and came back before this owner knew that it had left: the answer to the
+   * commit was lost, so it was still in the ledger when its return was reported. Else nobody places it.
    */
   #adoptReturned(id: string): void {
     const header = this.ctx.mirror.rows.get(keys.job(id))?.value;
--- a/src/part/placement.ts
+++ b/src/part/placement.ts
@@ -122,7 +122,7 @@
         // that run beyond one.
         const isNeglected = neglected.has(queues.get(name)![0]!.id);
         const teamShares = isNeglected ? [] : tree.shares(name);
-        // Below their guarantees all shares are zero; then the lowest use of its guarantee counts.
+        // Teams below their guarantees all have share zero: then the least used guarantee goes first.
         const shareOrder = team === "" ? -1 : compareShares(teamShares, shares);
         const teamGuaranteeUse = isNeglected
           ? Math.min(1, tree.guaranteeUse(name))
@@ -226,7 +226,7 @@
     if (!this.quota.fits(spec)) return false;
     const borrower = this.ctx.isBorrower(spec.team);
     if (borrower && spec.cpus > this.#lending.lendableCpus(pass)) return false;
-    // The job limits how many of its tasks are placed at a time, and that many are.
+    // The job limits how many of its tasks are placed at a time, and has reached that limit.
     if (spec.match !== undefined && job.pending === 0) return false;
     // A job that fails repeatedly runs one task at a time.
     if (job.failures > 1 && job.hasAllocations) return false;
@@ -277,7 +277,7 @@
     return best;
   }
 
-  /** The machine that a job with expressions ranks highest; among equals and else, the cheapest. */
+  /** The cheapest machine; for a job with expressions, the cheapest of those it ranks highest. */
   #searchMachines(
     job: Job,
     { machines, types, now }: Pass,
--- a/src/part/quota.ts
+++ b/src/part/quota.ts
@@ -26,9 +26,9 @@
  */
 const SLICE_SLACK = 1.1;
 
-/** Leases after which quota that no task here runs on or waits for goes to a part that lacks some. */
+/** Number of leases after which quota that no task here uses or waits for goes to a part lacking it. */
 const UNUSED_LEASES = 0.25;
-/** Leases after which unused quota goes although tasks here wait: they wait for machines. */
+/** Number of leases after which unused quota is given up though tasks here wait (for machines). */
 const UNUSED_WHILE_WAITING_LEASES = 2;
 
 /** What this part should hold of one team's limit, as it sees it. */
--- a/src/part/workers.ts
+++ b/src/part/workers.ts
@@ -118,7 +118,7 @@
     const known = this.ledger.machines.get(report.machine);
     const now = clock.now();
     const reportClass = classifyReport(report, known ?? UNKNOWN_MACHINE, token, now, this.ctx);
-    // It has a newer owner's token: it would discard this owner's answer, yet keep reporting here.
+    // The worker has a newer owner's token: it would discard this answer, yet keep reporting here.
     if (reportClass.kind === "foreign") {
       reply({ status: 421, body: wire.redirectAnswer(null) });
       return;
@@ -163,7 +163,7 @@
     const pendingAnswer = { machine, report, listed, reply };
     if (machine.allocations.size === allocationsBefore && !markedDone) {
       this.#answer(pendingAnswer);
-      // Also if nothing changed: waiting for the periodic pass delayed jobs in a part with few reports.
+      // A pass even if nothing changed: waiting for the periodic one delayed jobs where reports are few.
       this.requestPass(false);
       return;
     }
@@ -182,7 +182,7 @@
     { hears, misses }: { hears: boolean; misses: boolean },
     now: number,
   ) {
-    // Not the first report under this owner's token: it is no proof that answers pass a current fault.
+    // The first report under this owner's token is no proof that answers get through a current fault.
     if (hears && machine.seq >= 0) this.servedAt = now;
     const wasUnreachable = machine.unreachableSince !== null;
     if (wasUnreachable ? !hears : !misses) return;
@@ -377,7 +377,7 @@
     }
   }
 
-  /** Whether most machines that have this owner's token fell silent together. */
+  /** Whether most machines that report under this owner's token fell silent together. */
   mostMachinesSilent(): boolean {
     const now = this.ctx.clock.now();
     let reachable = 0;
--- a/src/pipeline/index.ts
+++ b/src/pipeline/index.ts
@@ -43,7 +43,10 @@
     this.#stopped = true;
   }
 
-  /** Whether a job with a watched header may start, waits, or is cancelled by one that it awaits. */
+  /**
+   * Whether a job may start, waits, or is cancelled by one that it awaits. Its header has to be among
+   * those that the mirror watches.
+   */
   fate(id: string): DependencyState {
     return this.#graph.stateOf(id);
   }
--- a/src/state/store.ts
+++ b/src/state/store.ts
@@ -86,7 +86,10 @@
 export function assertWritable(validator: RecordValidator, then: readonly wire.Change[]): void {
   for (const change of then) {
     const reason = "put" in change ? validator.fault(change.put, change.value) : null;
-    if (reason !== null) throw new Unwritable(`${(change as { put: string }).put}: ${reason}`);
+    if (reason !== null)
+      throw new Unwritable(
+        `record ${(change as { put: string }).put} is invalid and is not written: ${reason}`,
+      );
   }
 }
 
--- a/src/submit/file/queue.ts
+++ b/src/submit/file/queue.ts
@@ -95,7 +95,7 @@
   }
   const keyword = word.toLowerCase();
   if (kind !== undefined && keyword !== "matching") {
-    throw new SubmitError(`'${kind}' belongs to matching`, place);
+    throw new SubmitError(`'${kind}' is allowed only after the keyword matching`, place);
   }
   if (keyword !== "from" && vars.length > 1) {
     throw new SubmitError(`queue ... ${keyword} has one variable`, place, "use from for several");
--- a/src/submit/file/read.ts
+++ b/src/submit/file/read.ts
@@ -238,7 +238,7 @@
       throw new SubmitError(`'${name}' is no name`, place, "attributes are MY.Name or +Name");
     }
     if (PREDEFINED_NAMES.includes(key)) {
-      throw new SubmitError(`${name} is set by the program`, place, "choose another name");
+      throw new SubmitError(`${name} is set by birchdale`, place, "choose another name");
     }
     const info = commandOf(key);
     if (info?.support === "refused") {
--- a/src/submit/map/cluster.ts
+++ b/src/submit/map/cluster.ts
@@ -79,7 +79,7 @@
       throw new SubmitError(
         `${command} differs inside one cluster`,
         firstQueue!,
-        "one file for each",
+        "use a separate file for each value",
       );
     }
     return plan[name];
--- a/src/submit/map/expressions.ts
+++ b/src/submit/map/expressions.ts
@@ -69,8 +69,8 @@
 }
 
 /**
- * Checks that a command has the only supported value. That value must be the same for all jobs:
- * TRUE for some commands, FALSE for others.
+ * Checks that a command of which only one value is supported (`required`: TRUE for some commands,
+ * FALSE for others) has this value, and has it as a constant that is the same for all jobs.
  */
 export function requireConstant(value: Value, name: string, required: boolean, hint: string): void {
   const text = print(parseCheckedExpression(value, name)).toLowerCase();
--- a/src/submit/map/job.ts
+++ b/src/submit/map/job.ts
@@ -106,7 +106,7 @@
   for (const attribute of proc.attributes()) {
     const key = attribute.name.toLowerCase();
     if (RESERVED_ATTRIBUTES.has(key)) {
-      throw new SubmitError(`${attribute.name} is set by the program`, attribute.place);
+      throw new SubmitError(`${attribute.name} is set by birchdale`, attribute.place);
     }
     attributes.set(key, attribute);
   }
--- a/src/submit/map/units.ts
+++ b/src/submit/map/units.ts
@@ -11,11 +11,7 @@
   const value = evaluateConstant(text);
   if (!isNumber(value as never)) {
     const why = typeof value === "object" && "reason" in value ? value.reason : `'${text}'`;
-    throw new SubmitError(
-      `${name}: not a number: ${why}`,
-      place,
-      "what it needs has to be a constant",
-    );
+    throw new SubmitError(`${name}: not a number: ${why}`, place, "the value has to be a constant");
   }
   const number = Number(value);
   if (!Number.isFinite(number) || number < least) {
--- a/src/suspicion/accusations.ts
+++ b/src/suspicion/accusations.ts
@@ -124,7 +124,10 @@
     });
   }
 
-  /** Processes all open accusations: refutes, writes verdicts, or removes those that are over. */
+  /**
+   * Processes all open accusations: refutes those of this controller, writes verdicts on those it has
+   * made, and removes its own ones that no longer apply.
+   */
   process(now: number, evidenceFor: (name: string) => CaseEvidence | null): void {
     const nodeName = this.core.settings.node_name;
     for (const entry of this.#open.values()) {
@@ -227,7 +230,7 @@
       .catch((error) =>
         this.core.log.debug(
           { why: String(error) },
-          "accusation, refutation or verdict not confirmed",
+          "state service did not confirm the write of an accusation, refutation or verdict",
         ),
       )
       .finally(() => {
--- a/src/suspicion/failure-decisions.ts
+++ b/src/suspicion/failure-decisions.ts
@@ -3,8 +3,8 @@
 
 /**
  * The decisions of the failure detector, as pure functions on plain data: the same in the daemon, in
- * tests and in simulations. Nothing here decides who owns a part. That is a conditional write
- * (`accusations.ts`), which keeps ownership exclusive whatever these functions return
+ * tests and in simulations. Nothing here decides who owns a part: ownership changes by a conditional
+ * write (`accusations.ts`), which keeps it exclusive whatever these functions return
  * (`docs/design.md`).
  */
 
