--- a/src/part/committer.ts
+++ b/src/part/committer.ts
@@ -62,7 +62,7 @@
     this.#pages.markUnreadable(key);
   }
 
-  /** Keeps a state in a page that belongs to no chunk of this part: it is written back unchanged. */
+  /** Keeps a page's state that belongs to no chunk of this part: it is written back unchanged. */
   keepUnowned(page: number, name: string, state: ChunkState): void {
     this.#pages.keepUnowned(page, name, state);
   }
--- a/src/part/pages.ts
+++ b/src/part/pages.ts
@@ -61,7 +61,7 @@
     if (key.startsWith(prefix)) this.unreadable.add(Number(key.slice(prefix.length)));
   }
 
-  /** Keeps a state in a page that belongs to no chunk of this part: it is written back unchanged. */
+  /** Keeps a page's state that belongs to no chunk of this part: it is written back unchanged. */
   keepUnowned(page: number, name: string, state: ChunkState): void {
     const list = this.unowned.get(page) ?? [];
     list.push([name, state]);
@@ -83,7 +83,7 @@
     return false;
   }
 
-  /** Pages that are not to be written for the length of a lease. */
+  /** Defers writing these pages for the length of a lease. */
   defer(numbers: Iterable<number>): void {
     const until = this.ctx.clock.now() + this.ctx.leaseMs;
     for (const number of numbers) this.#deferredUntil.set(number, until);
@@ -102,7 +102,7 @@
     return size;
   }
 
-  /** Slightly more than the page's size, since a page contains each machine name only once. */
+  /** Slightly more than the size of a page of these chunks, which has each machine name only once. */
   bytesOf(chunks: readonly Chunk[]): number {
     return chunks.reduce((sum, chunk) => sum + this.chunkBytes(chunk), 0);
   }
--- a/src/part/preemption.ts
+++ b/src/part/preemption.ts
@@ -66,8 +66,8 @@
     // Preemptible teams are preempted without delay, and never preempt.
     const preemptibleRunning =
       policy !== null && this.#anyRunning(machines, (spec) => policy.preemptible(spec.team));
-    // Lent resources that can be reclaimed at the cost of a save: after one report interval, unless
-    // resources have become free by then.
+    // Lent resources whose reclaim costs only a save are reclaimed for jobs that have waited for one
+    // report interval, unless resources have become free by then.
     const lentReclaimable =
       this.#cpusLentBeyondMinimum(pass) > 0 &&
       this.#anyRunning(machines, (spec) => this.#isLentAndCheckpointed(spec));
--- a/src/part/quota.ts
+++ b/src/part/quota.ts
@@ -33,10 +33,10 @@
 
 /** What this part should hold of one team's limit, as it sees it. */
 interface FairSlice {
-  /** The slice is raised to this while tasks wait for quota, lowered to it from above `upperBound`. */
+  /** The slice is raised to this while tasks wait for quota, and lowered to it if above `upperBound`. */
   lowerBound: Amounts;
   upperBound: Amounts;
-  /** Unused for a while: for the short period (`surplus`), and for the long one (`idle`). */
+  /** Unused for `UNUSED_LEASES` (`surplus`), and for `UNUSED_WHILE_WAITING_LEASES` (`idle`). */
   spare: { surplus: Amounts; idle: Amounts };
   /** CPUs of the largest task that waits here; 1 when none waits. */
   taskCpus: number;
@@ -71,7 +71,7 @@
   readonly #shapesWithoutMachine = new Set<string>();
   /** By team: the stored record when it was last parsed, and the result. */
   readonly #readCache = new Map<string, { value: unknown; record: SliceRecord }>();
-  /** What teams lacked that could not place a task for lack of quota, in the last pass. */
+  /** By team, the quota that was missing for a task that could not be placed in the last pass. */
   readonly shortages = new Map<string, Amounts>();
 
   constructor(
@@ -214,7 +214,8 @@
     const fair = this.#fairSlices.get(spec.team);
     // No shortage is recorded under a lowered limit: stopping tasks would free no quota for others.
     if (fair?.overLimit === true) return false;
-    // Otherwise each task that ends here would be replaced before the slice can be lowered.
+    // While another part lacks quota, tasks start only up to the upper bound: otherwise each task that
+    // ends here would be replaced before the slice can be lowered.
     const usable = fair?.shortElsewhere === true ? minAmounts(slice, fair.upperBound) : slice;
     if (fitsWithin(use, usable)) return true;
     if (!this.shortages.has(spec.team) && !this.#waitsForMachines(spec)) {
@@ -226,7 +227,7 @@
 
   /**
    * Whether a team's tasks here still wait for machines after the part gave up the quota that they did
-   * not use. Otherwise the part would lack it at once and take it back before the other part had it.
+   * not use. Then no shortage is recorded: the part would take the quota back before another had it.
    */
   #waitsForMachines(spec: JobSpec): boolean {
     const { ctx, ledger } = this;
--- a/src/part/workers.ts
+++ b/src/part/workers.ts
@@ -383,7 +383,7 @@
     let reachable = 0;
     let silent = 0;
     for (const machine of this.ledger.machines.values()) {
-      // Silent for well over a lease: a single failed machine, handled separately.
+      // A machine silent for well over a lease has failed by itself, and is handled separately.
       const silenceMs = now - machine.lastSeen;
       // An unreachable worker does not count: it only reports here once per round of all controllers.
       if (
