--- a/test/suspicion.test.ts
+++ b/test/suspicion.test.ts
@@ -459,7 +459,7 @@
   const kind = { type: "m4", zone: "a", spot: true, capacity: 40, free: 40, most: 4 };
   const summary = { kinds: [kind], waiting: 0 } as unknown as Summary;
   const movedTo = (suspectedPart: number | null): number | null => {
-    const chunk = { allocations: new Map(), pending: 4, movingTo: null, since: 0 };
+    const chunk = { allocations: new Map(), pending: 4, handoverTarget: null, since: 0 };
     const spec = { cpus: 1, kind: "array", zone: null };
     const job = { id: "wk-1", spec, chunks: new Map([[0, chunk]]), failures: 0 } as unknown as Job;
     const context = {
@@ -478,7 +478,7 @@
       now: LEASE_MS,
     } as unknown as PlacementPass;
     new Rebalancing(context).run([job], pass, 4);
-    return chunk.movingTo;
+    return chunk.handoverTarget;
   };
   assert.equal(movedTo(null), 1);
   assert.equal(movedTo(1), null);
